--- a/packages/decisions/src/gateway/admission/GatewayAdmission.ts
+++ b/packages/decisions/src/gateway/admission/GatewayAdmission.ts
@@ -1,22 +1,25 @@
 import type { GatewayRequest } from '../BackendLoad.js';
 import type { PlacedCandidate } from '../placement/PlacementPolicy.js';
 
-/** Whether a request is let in, with the numbers that say so. */
+/** Whether a request is admitted, with the figures behind the decision. */
 export interface GatewayVerdict {
   readonly admit: boolean;
-  /** Expected time to the first event, with what the request has waited. */
+  /**
+   * Predicted time from arrival to the first event, in milliseconds, including
+   * the time already waited.
+   */
   readonly predictedMs: number;
-  /** Longest predicted time that would be let in. */
+  /** Largest `predictedMs` at which the request is admitted. */
   readonly allowedMs: number;
-  /** Expected time to the end of the answer. */
+  /** Predicted time until the answer is complete, in milliseconds. */
   readonly predictedWholeMs: number;
-  /** The longest of those that would be let in. */
+  /** Largest `predictedWholeMs` at which the request is admitted. */
   readonly allowedWholeMs: number;
-  /** When to come back, in milliseconds. */
+  /** Time after which the caller should retry, in milliseconds. */
   readonly retryAfterMs: number;
 }
 
-/** Decides on a request with its best candidate. */
+/** Decides whether a request is admitted, given its best candidate replica. */
 export type GatewayAdmission = (
   request: GatewayRequest,
   best: PlacedCandidate,
--- a/packages/decisions/src/gateway/admission/admit-any.ts
+++ b/packages/decisions/src/gateway/admission/admit-any.ts
@@ -4,7 +4,10 @@
 import type { GatewayBoard } from '../GatewayBoard.js';
 import type { GatewayAdmission } from './GatewayAdmission.js';
 
-/** Lets everything in; a baseline, and right for services that are seldom full. */
+/**
+ * Admits every request; a baseline, and suitable for services that are rarely
+ * full.
+ */
 export const admitAny = createPolicyUnit<
   object,
   GatewayAdmission,
--- a/packages/decisions/src/gateway/admission/first-event-target.ts
+++ b/packages/decisions/src/gateway/admission/first-event-target.ts
@@ -6,70 +6,90 @@
 import { excusedMs } from '../excusedMs.js';
 import type { GatewayBoard } from '../GatewayBoard.js';
 import type { GatewayAdmission } from './GatewayAdmission.js';
-import type { RoomOptions } from './leavesRoom.js';
-import { createLeavesRoom } from './leavesRoom.js';
+import type { HeadroomOptions } from './createHeadroomCheck.js';
+import { createHeadroomCheck } from './createHeadroomCheck.js';
 import { urgencyBounds } from './urgencyBounds.js';
 
-interface FirstEventTargetOptions extends RoomOptions {
-  /** Share of the time left in which the whole answer should have come. */
+interface FirstEventTargetOptions extends HeadroomOptions {
+  /**
+   * Share of the remaining time within which the complete answer should have
+   * come, for the least urgent requests on their first try.
+   */
   readonly wholeShare: number;
-  /** Time after which a replica that reads without a break has caught up. */
+  /**
+   * Retry delay before jitter, in milliseconds, for requests that would not end
+   * in time. After this time, a replica that reads prompts without a break has
+   * caught up.
+   */
   readonly paceRetryMs: number;
-  /** Part of the allowed time to which the backlog should fall before a return. */
+  /**
+   * Share of the allowed time to which the predicted wait should have fallen
+   * before a caller retries.
+   */
   readonly returnShare: number;
+  /** Shortest retry delay, in milliseconds. */
   readonly minRetryAfterMs: number;
 }
 
-/** Part of the time for which a caller waits that a prediction may fill. */
-const FEASIBLE_SHARE = 0.9;
+/** Share of a caller's patience that a predicted wait may take up. */
+const MAX_PATIENCE_SHARE = 0.9;
 
 function createFirstEventTarget(
   board: GatewayBoard,
   options: FirstEventTargetOptions,
 ): GatewayAdmission {
   const bounds = urgencyBounds(board, options);
-  const leavesRoom = createLeavesRoom(board, options);
+  const hasHeadroom = createHeadroomCheck(board, options);
 
-  /** Beyond this, whatever its size, a caller would not be there any more. */
-  const feasibleMs = ({ route }: GatewayRequest, leftMs: number): number =>
-    FEASIBLE_SHARE * Math.min(leftMs, callerPatienceMs(route));
+  /**
+   * Longest wait worth admitting a request of any size for; after a longer one
+   * the caller would have left.
+   */
+  const feasibleWaitMs = ({ route }: GatewayRequest, leftMs: number): number =>
+    MAX_PATIENCE_SHARE * Math.min(leftMs, callerPatienceMs(route));
 
   return (request, best) => {
     const nowMs = board.clock();
     const leftMs = request.deadlineMs - nowMs;
-    const spentMs = nowMs - request.arrivedMs;
-    const { allowedMs: usualMs, isLeastUrgent } = bounds(request, leftMs);
-    const excused = excusedMs(board, request, best);
-    const latestMs = Math.max(usualMs, feasibleMs(request, leftMs));
-    const allowedMs = Math.min(usualMs + excused, latestMs);
-    const predictedMs = spentMs + best.predictedMs;
+    const waitedMs = nowMs - request.arrivedMs;
+    const { allowedMs: baseAllowedMs, isLeastUrgent } = bounds(request, leftMs);
+    const sizeAllowanceMs = excusedMs(board, request, best);
+    const maxAllowedMs = Math.max(
+      baseAllowedMs,
+      feasibleWaitMs(request, leftMs),
+    );
+    const allowedMs = Math.min(baseAllowedMs + sizeAllowanceMs, maxAllowedMs);
+    const predictedMs = waitedMs + best.predictedMs;
     // A replica that reads prompts without a break starts new streams in time
-    // and finishes none: every token waits for the next part of a prompt. Where
-    // the end is uncertain the least urgent make room first, and a caller that came
-    // back as told is not sent away again.
-    const isFirstToYield = isLeastUrgent && !request.cameBack;
-    const wholeShare = isFirstToYield
+    // but finishes none, because every token waits for the next part of a
+    // prompt. Where it is uncertain whether answers end in time, the least
+    // urgent requests are refused first. Callers that retried as advised get
+    // the wider bound, so that they are not turned away again.
+    const isShedFirst = isLeastUrgent && !request.cameBack;
+    const wholeShare = isShedFirst
       ? options.wholeShare
       : options.lateWholeShare;
-    const usualWholeMs = wholeShare * leftMs;
+    const baseAllowedWholeMs = wholeShare * leftMs;
     const allowedWholeMs = Math.min(
-      usualWholeMs + excused,
-      Math.max(usualWholeMs, leftMs),
+      baseAllowedWholeMs + sizeAllowanceMs,
+      Math.max(baseAllowedWholeMs, leftMs),
     );
-    const finishes = best.predictedWholeMs <= allowedWholeMs;
-    const overMs = finishes
+    const finishesInTime = best.predictedWholeMs <= allowedWholeMs;
+    const excessMs = finishesInTime
       ? predictedMs - options.returnShare * allowedMs
       : options.paceRetryMs;
-    // Returns are spread, so that those turned away together don't come back
+    // Jitter keeps callers that were turned away together from retrying
     // together.
-    const spreadMs = overMs * (0.5 + board.random());
+    const jitteredMs = excessMs * (0.5 + board.random());
     const retryAfterMs = Math.min(
       options.maxRetryShare * leftMs,
-      Math.max(options.minRetryAfterMs, spreadMs),
+      Math.max(options.minRetryAfterMs, jitteredMs),
     );
     return {
       admit:
-        finishes && predictedMs <= allowedMs && leavesRoom(request, best.load),
+        finishesInTime &&
+        predictedMs <= allowedMs &&
+        hasHeadroom(request, best.load),
       predictedMs,
       allowedMs,
       predictedWholeMs: best.predictedWholeMs,
@@ -79,7 +99,7 @@
   };
 }
 
-/** Turns away at once what would not be served. */
+/** Refuses requests at once that would not be served in time. */
 export const firstEventTarget = createPolicyUnit<
   FirstEventTargetOptions,
   GatewayAdmission,
--- a/packages/decisions/src/gateway/admission/outlastsStop.ts
+++ b/packages/decisions/src/gateway/admission/outlastsStop.ts
@@ -1,29 +1,38 @@
 import type { GatewayRequest } from '../BackendLoad.js';
 
-/** When an instance that was asked to stop takes what. */
+/**
+ * Times that decide which requests an instance admits during a graceful
+ * shutdown, on the local clock.
+ */
 export interface StopPlan {
-  /** From then on only what must end in time is let in. */
+  /**
+   * From this time on, only requests whose time limit ends by `untilMs` are
+   * admitted.
+   */
   readonly strictFromMs: number;
-  /** When everything must have ended. */
+  /** Time by which every request must have ended. */
   readonly untilMs: number;
 }
 
-/** Answers may take this much longer than predicted. */
-const PATIENCE = 1.6;
+/** Factor by which an answer may take longer than predicted. */
+const DURATION_MARGIN = 1.6;
 
 /**
- * Whether a request would run longer than the instance that carries it.
+ * Whether a request could still be running when its instance shuts down.
  *
- * Guards against cutting a stream that came after a stop was asked for, while
- * callers still held this address; turned away at once it runs elsewhere. At
- * first the prediction decides. Later, when callers have had time to learn of the
- * stop, only the time limit does, as streams were seen to take over 1.6 times
- * their prediction and to be cut milliseconds before their end.
+ * Guards against cutting a stream that arrived after the shutdown was
+ * requested, while callers still used this instance's address; refused at once,
+ * the request runs on another instance. At first the prediction decides. Later,
+ * when callers have had time to learn of the shutdown, only the time limit
+ * decides, because streams were seen to take over 1.6 times their prediction
+ * and to be cut milliseconds before their end.
  *
  * @param request - not sent yet
- * @param predictedWholeMs - expected time to the end of its answer
- * @param nowMs - on the local clock
- * @param plan - of the stop; null while the instance runs on
+ * @param predictedWholeMs - predicted time until the answer is complete, in
+ *   milliseconds
+ * @param nowMs - present time on the local clock
+ * @param plan - times of the shutdown; null while none is requested
+ * @returns true if the request should be refused
  */
 export function outlastsStop(
   request: Pick<GatewayRequest, 'deadlineMs'>,
@@ -36,5 +45,5 @@
   }
   return nowMs >= plan.strictFromMs
     ? request.deadlineMs > plan.untilMs
-    : nowMs + PATIENCE * predictedWholeMs > plan.untilMs;
+    : nowMs + DURATION_MARGIN * predictedWholeMs > plan.untilMs;
 }
--- a/packages/decisions/tests/gateway/admission/first-event-target.test.ts
+++ b/packages/decisions/tests/gateway/admission/first-event-target.test.ts
@@ -14,9 +14,9 @@
   return [{ id: `p-${serial}`, tokens }];
 };
 
-/** Sends long prompts until one is turned away; returns how many went through. */
-function fill({ router, request }: GatewayFixture): number {
-  const takes = (): boolean => {
+/** Sends 200 long prompts; returns how many were admitted. */
+function fillReplica({ router, request }: GatewayFixture): number {
+  const isAdmitted = (): boolean => {
     const asked = request(LONG, prompt(12_000));
     const decision = router.place(asked, new Set());
     if (decision.kind === 'send') {
@@ -24,15 +24,16 @@
     }
     return decision.kind === 'send';
   };
-  return Array.from({ length: 200 }).filter(takes).length;
+  return Array.from({ length: 200 }).filter(isAdmitted).length;
 }
 
 describe('first-event-target', ({ it }) => {
-  it('turns away at once what would miss its target, with a time to come back', t => {
-    // In a burst invoices queue for longer than anyone waits: all of them are
-    // late. Those beyond what can be read in time are told at once.
+  it('refuses a request at once that would miss its target, with a retry-after', t => {
+    // Guards against a burst of long prompts that queue for longer than any
+    // caller waits, so that all of them are late. Those that can't be read in
+    // time are refused at once.
     const fixture = gatewayFixture([LONG], [replica('s-1')]);
-    t.true(fill(fixture) < 30);
+    t.true(fillReplica(fixture) < 30);
     const asked = fixture.request(LONG, prompt(12_000));
     const decision = fixture.router.place(asked, new Set());
     t.is(decision.kind, 'refuse');
@@ -43,9 +44,9 @@
     }
   });
 
-  it('spreads the returns of those that it turned away together', t => {
+  it('spreads the retries of requests that were refused together', t => {
     const fixture = gatewayFixture([LONG], [replica('s-1')]);
-    fill(fixture);
+    fillReplica(fixture);
     const times = Array.from({ length: 10 }, () => {
       const asked = fixture.request(LONG, prompt(12_000));
       const decision = fixture.router.place(asked, new Set());
@@ -54,9 +55,9 @@
     t.true(new Set(times).size > 5, times.join(' '));
   });
 
-  it('serves the most urgent and those that came back late rather than not', t => {
+  it('serves the most urgent and retried requests late rather than refusing them', t => {
     const fixture = gatewayFixture([LONG, URGENT], [replica('s-1')]);
-    fill(fixture);
+    fillReplica(fixture);
     const { router, request } = fixture;
     const urgent = router.place(request(URGENT, prompt(900)), new Set());
     t.is(urgent.kind, 'send');
@@ -67,10 +68,11 @@
     t.is(returned.kind, 'send');
   });
 
-  // Price checks have three seconds and five events. Beside long invoices an event
-  // takes 0.4 s, so that an end after 2.2 s was predicted and one in six was
-  // turned away, twice, while invoices went on being let in.
-  it('lets an urgent request in whose end is uncertain, not the least urgent', t => {
+  // Guards against refusing short urgent requests beside long prompts. They had a
+  // time limit of three seconds and answers of five events. An event took 0.4 s,
+  // so that the end was predicted after 2.2 s and one request in six was refused
+  // twice, while long prompts were still admitted.
+  it('admits an urgent request whose end is uncertain, but not a least urgent one', t => {
     const CHECK = route({ id: brand<RouteId>('check'), timeoutMs: 3000 });
     const INVOICE = route({
       id: brand<RouteId>('invoice'),
@@ -82,11 +84,11 @@
     const asked = request(CHECK, prompt(500));
     const first = router.place(asked, new Set());
     if (first.kind !== 'send') {
-      t.fail('the first request was turned away');
+      t.fail('the first request was refused');
       return;
     }
     const attempt = router.begin(asked, first.placed, 1);
-    // Answers of the route have few events, and each takes long.
+    // Answers of both routes have five events, and each event takes 440 ms.
     [CHECK, INVOICE].forEach(({ id }) => {
       Array.from({ length: 300 }).forEach(() => {
         board.lengths.onEnded(id, 5);
@@ -102,16 +104,16 @@
     t.is(decide(INVOICE), 'refuse');
   });
 
-  it('turns away what would start in time and never finish', t => {
-    // Streams start within their target and are cut at their time limit: the
-    // replica reads prompts without a break, so each token takes fifty
-    // milliseconds instead of six.
+  it('refuses a request that would start in time but not end in time', t => {
+    // Guards against streams that start within their target but are cut at their
+    // time limit: the replica reads prompts without a break, so that each token
+    // takes 50 ms instead of 6 ms.
     const fixture = gatewayFixture([LONG], [replica('s-1')]);
     const { router, request, clock } = fixture;
     const asked = request(LONG, prompt(500));
     const first = router.place(asked, new Set());
     if (first.kind !== 'send') {
-      t.fail('the first request was turned away');
+      t.fail('the first request was refused');
       return;
     }
     const attempt = router.begin(asked, first.placed, 1);
