--- a/packages/decisions/src/gateway/crashes/CrashLedger.ts
+++ b/packages/decisions/src/gateway/crashes/CrashLedger.ts
@@ -2,80 +2,109 @@
 
 import type { Clock } from '../../blackboard/Blackboard.js';
 import type { Crash, CrashedRun, CrashNews, CrashReport } from './crashNews.js';
-import { NO_CRASH_NEWS, tellCrashes } from './crashNews.js';
+import { EMPTY_CRASH_NEWS, selectCrashReports } from './crashNews.js';
 import { ServedContents } from './ServedContents.js';
 
-/** Crashes after which a request is not sent on. */
+/**
+ * Crashes after which a request is barred, that is, no longer sent to any
+ * replica.
+ */
 export const MAX_CRASHES = 3;
-/** Crashes after which a request gets a replica on which little depends. */
+/**
+ * Crashes after which a request is only sent to the replica with the fewest
+ * requests to lose.
+ */
 export const CAUTIOUS_CRASHES = 2;
 /**
- * Time without another crash after which one crash less is held against a request. It
- * may be sent once more then, as to a model that was replaced meanwhile.
+ * Time without another crash after which one crash fewer counts against a
+ * request. A barred request may then be sent once more, since the model that
+ * crashed on it may have been replaced.
  */
-const FORGIVE_MS = 600_000;
-/** Time for which crashes are remembered at all. */
-const REMEMBER_MS = 3_600_000;
-/** Time for which what is new is part of every message. */
-const RETELL_MS = 3000;
-/** Cleared contents in a message, at most. */
-const MAX_CLEARED_TOLD = 32;
-/** Crashes that are remembered; the oldest go first. */
-const MAX_REMEMBERED = 256;
-/** Suspects of one crash; a replica has fewer slots than this. */
+const CRASH_DECAY_MS = 600_000;
+/** Time for which a crash is remembered. */
+const RETENTION_MS = 3_600_000;
+/** Time for which a change is part of every message to other instances. */
+const REBROADCAST_MS = 3000;
+/** Maximum number of cleared contents in a message. */
+const MAX_CLEARED_PER_MESSAGE = 32;
+/** Maximum number of crashes that are remembered; the oldest are dropped first. */
+const MAX_TRACKED_CRASHES = 256;
+/** Maximum number of suspects of one crash; a replica has fewer slots than this. */
 const MAX_SUSPECTS = 256;
-/** Bytes from a replica this soon after its end may have been under way before it. */
-const IN_FLIGHT_MS = 300;
-/** Bytes later than this may come from the run that follows under the same id. */
-const SAME_RUN_MS = 1500;
+/**
+ * Bytes that arrive this soon after a replica's presumed end may have been sent
+ * before it.
+ */
+const MAX_TRANSIT_MS = 300;
+/**
+ * Bytes that arrive later than this may come from the next run under the same
+ * id.
+ */
+const SAME_RUN_WINDOW_MS = 1500;
 
 /**
- * Remembers what was lost where replicas crashed.
+ * Records which requests were lost when replicas crashed, and bars those that
+ * were lost with several replicas.
  *
- * Guards against a request that crashes whatever runs it: repeats come under new ids
- * at any instance, and each one takes a replica with all that runs there. What is
- * lost with several replicas one after another is no longer sent. Innocent requests are lost
- * with them too, so whatever was ever served, and the end of a run that answers again,
- * counts for nothing.
+ * Guards against a request that crashes every replica that runs it: callers
+ * repeat it under new ids and at any instance, and each repeat takes down a
+ * replica with all requests that run there. A request that was lost with
+ * several replicas in succession is no longer sent. Innocent requests are lost
+ * in the same crashes, so contents that were ever served are cleared, and a
+ * crash is retracted if the same run answers again.
  */
 export class CrashLedger {
   readonly #crashes = new Map<string, Crash>();
-  readonly #bySuspect = new Map<RequestFingerprint, Set<Crash>>();
-  /** Those of them that were lost in more than one. */
+  readonly #crashesByContent = new Map<RequestFingerprint, Set<Crash>>();
+  /** Contents that were lost in more than one crash. */
   readonly #repeated = new Set<RequestFingerprint>();
   readonly #served: ServedContents;
-  readonly #clearedMs = new Map<RequestFingerprint, number>();
+  readonly #clearedAtMs = new Map<RequestFingerprint, number>();
   readonly #listeners: (() => void)[] = [];
-  #turn = 0;
+  #messageNumber = 0;
 
   constructor(private readonly clock: Clock) {
     this.#served = new ServedContents();
   }
 
-  /** Whether no crash is held against anything. */
+  /** Whether no crash counts against any content. */
   get isEmpty(): boolean {
-    return this.#bySuspect.size === 0;
+    return this.#crashesByContent.size === 0;
   }
 
-  /** Adds a listener that is told whenever there is something that others should know. */
+  /**
+   * Adds a listener that is called when there is something that other instances
+   * should know.
+   */
   onNews(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
-  /** @returns replicas whose crashes are held against a request's content */
+  /**
+   * Finds the replicas whose crashes count against a request's content.
+   *
+   * @param content - fingerprint of the request
+   * @returns their ids
+   */
   crashesOf(content: RequestFingerprint): readonly BackendServerId[] {
     return this.runsOf(content).map(({ id }) => id);
   }
 
-  /** @returns the runs of replicas whose ends are held against a request's content */
+  /**
+   * Finds the runs of replicas whose ends count against a request's content.
+   *
+   * @param content - fingerprint of the request
+   * @returns the runs, without those that no longer count after a time without
+   *   crashes
+   */
   runsOf(content: RequestFingerprint): readonly CrashedRun[] {
-    const held = [...(this.#bySuspect.get(content) ?? [])];
+    const held = [...(this.#crashesByContent.get(content) ?? [])];
     const newestMs = Math.max(...held.map(({ atMs }) => atMs));
-    const forgiven = Math.floor((this.clock() - newestMs) / FORGIVE_MS);
-    return held.slice(Math.max(0, forgiven));
+    const decayed = Math.floor((this.clock() - newestMs) / CRASH_DECAY_MS);
+    return held.slice(Math.max(0, decayed));
   }
 
-  /** Contents that are not sent any more. */
+  /** Contents that are no longer sent. */
   get barred(): readonly RequestFingerprint[] {
     return [...this.#repeated].filter(
       content => this.crashesOf(content).length >= MAX_CRASHES,
@@ -84,79 +113,82 @@
 
   /** Time until a barred request may be sent again, in milliseconds. */
   barredForMs(content: RequestFingerprint): number {
-    const held = [...(this.#bySuspect.get(content) ?? [])];
+    const held = [...(this.#crashesByContent.get(content) ?? [])];
     const newestMs = Math.max(...held.map(({ atMs }) => atMs));
-    const toForgive = Math.max(0, held.length - MAX_CRASHES + 1);
-    return Math.max(0, newestMs + toForgive * FORGIVE_MS - this.clock());
+    const decaysNeeded = Math.max(0, held.length - MAX_CRASHES + 1);
+    return Math.max(0, newestMs + decaysNeeded * CRASH_DECAY_MS - this.clock());
   }
 
   /**
-   * Notes that an answer was lost with the run of a replica.
+   * Records that an answer was lost when a replica's run ended.
    *
-   * @param run - that seems to have ended
-   * @param content - of the request
+   * @param run - the run that presumably ended
+   * @param content - fingerprint of the request
    */
   onLost(run: CrashedRun, content: RequestFingerprint): void {
-    this.#take({ ...run, ageMs: 0, goesOn: false, suspects: [content] });
+    this.#merge({ ...run, ageMs: 0, goesOn: false, suspects: [content] });
   }
 
-  /** Notes that a replica ran a request to its end. */
+  /** Clears a request that a replica ran to its end. */
   onServed(content: RequestFingerprint): void {
     this.#served.add(content);
-    this.#clear(content);
+    this.#clearContent(content);
   }
 
-  /** Notes bytes of a run, which show that it goes on. */
+  /** Takes in that a run sent bytes, which may show that it has not ended. */
   onBytes(run: CrashedRun): void {
     const crash = this.#crashes.get(keyOf(run));
     if (!crash || crash.goesOn) {
       return;
     }
     const sinceMs = this.clock() - crash.atMs;
-    if (sinceMs > IN_FLIGHT_MS && sinceMs < SAME_RUN_MS) {
-      this.#withdraw(crash);
+    if (sinceMs > MAX_TRANSIT_MS && sinceMs < SAME_RUN_WINDOW_MS) {
+      this.#retract(crash);
     }
   }
 
-  /** Takes in what another instance knows. */
+  /** Merges what another instance knows of crashes. */
   onPeer({ crashes, cleared }: CrashNews): void {
     cleared.forEach(content => {
-      if (this.#bySuspect.has(content)) {
+      if (this.#crashesByContent.has(content)) {
         this.#served.add(content);
-        this.#clear(content);
+        this.#clearContent(content);
       }
     });
     crashes.forEach(report => {
-      this.#take(report);
+      this.#merge(report);
     });
   }
 
-  /** What others should know: what is new, and by turns what is not. */
+  /**
+   * What other instances should know: recent changes, and older crashes in
+   * rotation.
+   */
   get news(): CrashNews {
-    this.#forget();
-    if (this.#crashes.size === 0 && this.#clearedMs.size === 0) {
-      return NO_CRASH_NEWS;
+    this.#prune();
+    if (this.#crashes.size === 0 && this.#clearedAtMs.size === 0) {
+      return EMPTY_CRASH_NEWS;
     }
-    const newestMs = this.clock() - RETELL_MS;
-    this.#turn += 1;
+    const freshSinceMs = this.clock() - REBROADCAST_MS;
+    this.#messageNumber += 1;
     return {
-      crashes: tellCrashes([...this.#crashes.values()], {
+      crashes: selectCrashReports([...this.#crashes.values()], {
         nowMs: this.clock(),
-        newestMs,
-        turn: this.#turn,
+        freshSinceMs,
+        messageNumber: this.#messageNumber,
         repeated: this.#repeated,
       }),
-      cleared: [...this.#clearedMs]
-        .filter(([, atMs]) => atMs >= newestMs)
+      cleared: [...this.#clearedAtMs]
+        .filter(([, atMs]) => atMs >= freshSinceMs)
         .map(([content]) => content)
-        .slice(-MAX_CLEARED_TOLD),
+        .slice(-MAX_CLEARED_PER_MESSAGE),
     };
   }
 
-  #take(report: CrashReport): void {
+  #merge(report: CrashReport): void {
     const { id, bornMs, ageMs } = report;
     const nowMs = this.clock();
-    if (ageMs >= REMEMBER_MS) {
+    if (ageMs >= RETENTION_MS) {
       return;
     }
     const key = keyOf(report);
@@ -165,7 +197,7 @@
       id,
       bornMs,
       atMs: nowMs - ageMs,
-      toldMs: nowMs,
+      updatedAtMs: nowMs,
       goesOn: false,
       suspects: new Set<RequestFingerprint>(),
     };
@@ -174,33 +206,37 @@
       return;
     }
     if (report.goesOn) {
-      this.#withdraw(crash);
+      this.#retract(crash);
       return;
     }
     const added = report.suspects.filter(content =>
-      this.#suspect(crash, content),
+      this.#addSuspect(crash, content),
     );
     if (added.length > 0 || !known) {
-      crash.toldMs = nowMs;
+      crash.updatedAtMs = nowMs;
     }
     if (added.some(content => this.#isRepeated(content))) {
-      this.#tell();
+      this.#notifyListeners();
     }
-    this.#forget();
+    this.#prune();
   }
 
-  /** @returns whether that is news */
-  #suspect(crash: Crash, content: RequestFingerprint): boolean {
+  /**
+   * Adds a content to the suspects of a crash.
+   *
+   * @returns false if it is one already or there are too many
+   */
+  #addSuspect(crash: Crash, content: RequestFingerprint): boolean {
     if (crash.suspects.has(content) || crash.suspects.size >= MAX_SUSPECTS) {
       return false;
     }
     crash.suspects.add(content);
     if (this.#served.has(content)) {
-      this.#clearedMs.set(content, this.clock());
+      this.#clearedAtMs.set(content, this.clock());
       return true;
     }
-    const held = this.#bySuspect.get(content) ?? new Set();
-    this.#bySuspect.set(content, held.add(crash));
+    const held = this.#crashesByContent.get(content) ?? new Set();
+    this.#crashesByContent.set(content, held.add(crash));
     if (held.size >= CAUTIOUS_CRASHES) {
       this.#repeated.add(content);
     }
@@ -210,61 +246,61 @@
   /**
    * Whether a content was lost in more than one crash.
    *
-   * Only of these others are told at once. Every crash has many suspects, and told
-   * one by one each of them would go through the whole fleet.
+   * Only changes to such contents are announced at once. Every crash has many
+   * suspects, and announcing each of them would flood the fleet with messages.
    */
   #isRepeated(content: RequestFingerprint): boolean {
     return this.#repeated.has(content);
   }
 
-  #clear(content: RequestFingerprint): void {
+  #clearContent(content: RequestFingerprint): void {
     if (this.#isRepeated(content)) {
-      this.#clearedMs.set(content, this.clock());
-      this.#tell();
+      this.#clearedAtMs.set(content, this.clock());
+      this.#notifyListeners();
     }
-    this.#bySuspect.delete(content);
+    this.#crashesByContent.delete(content);
     this.#repeated.delete(content);
   }
 
-  #withdraw(crash: Crash): void {
+  #retract(crash: Crash): void {
     crash.goesOn = true;
-    crash.toldMs = this.clock();
-    this.#release(crash);
+    crash.updatedAtMs = this.clock();
+    this.#unlinkSuspects(crash);
     crash.suspects.clear();
   }
 
-  #release(crash: Crash): void {
+  #unlinkSuspects(crash: Crash): void {
     crash.suspects.forEach(content => {
-      const held = this.#bySuspect.get(content);
+      const held = this.#crashesByContent.get(content);
       held?.delete(crash);
       if ((held?.size ?? 0) < CAUTIOUS_CRASHES) {
         this.#repeated.delete(content);
       }
       if (held?.size === 0) {
-        this.#bySuspect.delete(content);
+        this.#crashesByContent.delete(content);
       }
     });
   }
 
-  #forget(): void {
-    if (this.#crashes.size === 0 && this.#clearedMs.size === 0) {
+  #prune(): void {
+    if (this.#crashes.size === 0 && this.#clearedAtMs.size === 0) {
       return;
     }
-    const oldestMs = this.clock() - REMEMBER_MS;
-    const surplus = this.#crashes.size - MAX_REMEMBERED;
+    const oldestMs = this.clock() - RETENTION_MS;
+    const surplus = this.#crashes.size - MAX_TRACKED_CRASHES;
     [...this.#crashes]
       .filter(([, { atMs }], place) => atMs <= oldestMs || place < surplus)
       .forEach(([key, crash]) => {
-        this.#release(crash);
+        this.#unlinkSuspects(crash);
         this.#crashes.delete(key);
       });
-    const clearedMs = this.clock() - RETELL_MS;
-    [...this.#clearedMs]
-      .filter(([, atMs]) => atMs < clearedMs)
-      .forEach(([content]) => this.#clearedMs.delete(content));
+    const oldestClearedMs = this.clock() - REBROADCAST_MS;
+    [...this.#clearedAtMs]
+      .filter(([, atMs]) => atMs < oldestClearedMs)
+      .forEach(([content]) => this.#clearedAtMs.delete(content));
   }
 
-  #tell(): void {
+  #notifyListeners(): void {
     this.#listeners.forEach(listener => {
       listener();
     });
--- a/packages/decisions/src/gateway/crashes/ServedContents.ts
+++ b/packages/decisions/src/gateway/crashes/ServedContents.ts
@@ -1,18 +1,24 @@
 import type { RequestFingerprint } from '@jujubecroft/types';
 
-/** Contents that are remembered; the longest unused go first. */
-const MAX_REMEMBERED = 4096;
+/**
+ * Most contents that are remembered; the least recently served are dropped
+ * first.
+ */
+const MAX_CONTENTS = 4096;
 
-/** What was served lately, and so does no harm to a replica. */
+/**
+ * Contents of requests that were served recently, and so don't crash replicas.
+ */
 export class ServedContents {
-  // A set keeps the order in which its members were added.
+  // A Set iterates in insertion order, so its first member is the least
+  // recently served.
   readonly #contents = new Set<RequestFingerprint>();
 
-  /** Notes that a replica ran a request to its end. */
+  /** Records that a replica ran a request with this content to its end. */
   add(content: RequestFingerprint): void {
     this.#contents.delete(content);
     this.#contents.add(content);
-    if (this.#contents.size > MAX_REMEMBERED) {
+    if (this.#contents.size > MAX_CONTENTS) {
       const [oldest] = this.#contents;
       if (oldest !== undefined) {
         this.#contents.delete(oldest);
--- a/packages/decisions/src/gateway/crashes/crashNews.ts
+++ b/packages/decisions/src/gateway/crashes/crashNews.ts
@@ -1,56 +1,64 @@
 import type { BackendServerId, RequestFingerprint } from '@jujubecroft/types';
 
-/** A run of a replica that ended while requests were there. */
+/** A run of a replica that ended while requests were in progress. */
 export interface CrashedRun {
   readonly id: BackendServerId;
-  /** Start of the run in Unix milliseconds; null where that is unknown. */
+  /** Start of the run in Unix milliseconds; null if unknown. */
   readonly bornMs: number | null;
 }
 
-/** The same as instances tell it. */
+/** A crash as instances report it to each other. */
 export interface CrashReport extends CrashedRun {
+  /** Time since the crash, in milliseconds. */
   readonly ageMs: number;
-  /** Whether the run was seen to go on after all. */
+  /** Whether the run was later seen to continue, which retracts the crash. */
   readonly goesOn: boolean;
-  /** What was lost there and may have ended it. */
+  /**
+   * Contents of requests that were lost in the crash and may have caused it.
+   */
   readonly suspects: readonly RequestFingerprint[];
 }
 
-/** What one instance tells another of crashes. */
+/** What one instance tells another about crashes. */
 export interface CrashNews {
   readonly crashes: readonly CrashReport[];
-  /** Content that was served although it was among the suspects. */
+  /** Contents that were served although they had been suspects. */
   readonly cleared: readonly RequestFingerprint[];
 }
 
-/** What an instance that knows of no crash tells. */
-export const NO_CRASH_NEWS: CrashNews = { crashes: [], cleared: [] };
+/** What an instance tells that knows of no crash. */
+export const EMPTY_CRASH_NEWS: CrashNews = { crashes: [], cleared: [] };
 
-/** The same as an instance remembers it. */
+/** A crash as an instance remembers it. */
 export interface Crash extends CrashedRun {
-  /** When it happened, on the local clock. */
+  /** Time of the crash, on the local clock. */
   readonly atMs: number;
-  /** When this instance learnt the newest of it. */
-  toldMs: number;
+  /** Time at which this instance last learnt something about the crash. */
+  updatedAtMs: number;
   goesOn: boolean;
   readonly suspects: Set<RequestFingerprint>;
 }
 
-/** What decides how much of each crash is told. */
-export interface TellingFacts {
+/** Input to the selection of crash reports for a message. */
+export interface ReportSelection {
   readonly nowMs: number;
-  /** What was learnt since then is told in full. */
-  readonly newestMs: number;
-  /** Number of the message, for older crashes to take turns. */
-  readonly turn: number;
+  /** Crashes that were updated since this time are reported in full. */
+  readonly freshSinceMs: number;
+  /**
+   * Number of the message; it decides which older crash is reported in full.
+   */
+  readonly messageNumber: number;
   /** Contents that were lost in more than one crash. */
   readonly repeated: ReadonlySet<RequestFingerprint>;
 }
 
-/** Suspects of older crashes in a message, at most. */
-const MAX_OLD_TOLD = 16;
-/** Crashes that are told in full at once, the newest ones. */
-const MAX_FULL_TOLD = 4;
+/**
+ * Maximum number of repeated suspects that a message reports of older crashes,
+ * and of all suspects of the one that is reported in full.
+ */
+const MAX_OLD_SUSPECTS = 16;
+/** Maximum number of recently updated crashes in a message; the newest are chosen. */
+const MAX_FRESH_CRASHES = 4;
 
 function reportOf(
   { id, bornMs, atMs, goesOn }: Crash,
@@ -60,46 +68,51 @@
   return { id, bornMs, ageMs: nowMs - atMs, goesOn, suspects };
 }
 
-/** Older crashes, with those suspects first that were there more than once. */
-function tellOld(
+/**
+ * Reports older crashes with only those suspects that were lost in more than
+ * one crash. The first crash in the rotation is reported in full while there is
+ * room.
+ */
+function selectOldReports(
   old: readonly Crash[],
-  { nowMs, turn, repeated }: TellingFacts,
+  { nowMs, messageNumber, repeated }: ReportSelection,
 ): readonly CrashReport[] {
-  const start = turn % Math.max(1, old.length);
-  let room = MAX_OLD_TOLD;
-  const listed = [...old.slice(start), ...old.slice(0, start)].map(crash => {
+  const start = messageNumber % Math.max(1, old.length);
+  let remaining = MAX_OLD_SUSPECTS;
+  const selected = [...old.slice(start), ...old.slice(0, start)].map(crash => {
     const suspects = [...repeated]
       .filter(content => crash.suspects.has(content))
-      .slice(0, room);
-    room -= suspects.length;
+      .slice(0, remaining);
+    remaining -= suspects.length;
     return { crash, suspects };
   });
-  return listed
+  return selected
     .map(({ crash, suspects }, place) =>
-      // One of them in full, as far as there is room.
-      place === 0 && room > 0
-        ? reportOf(crash, [...crash.suspects].slice(0, MAX_OLD_TOLD), nowMs)
+      place === 0 && remaining > 0
+        ? reportOf(crash, [...crash.suspects].slice(0, MAX_OLD_SUSPECTS), nowMs)
         : reportOf(crash, suspects, nowMs),
     )
     .filter(({ suspects }) => suspects.length > 0);
 }
 
 /**
- * What a message tells of crashes: all of the new ones, and a part of the others.
+ * Selects the crash reports of a message: recently updated crashes in full, and
+ * a part of the others.
  *
- * @param all - that are remembered, the oldest first
- * @param facts - what is new, and whose turn it is
+ * @param all - remembered crashes, oldest first
+ * @param facts - what counts as recent, and the state of the rotation
+ * @returns the reports
  */
-export function tellCrashes(
+export function selectCrashReports(
   all: readonly Crash[],
-  facts: TellingFacts,
+  facts: ReportSelection,
 ): readonly CrashReport[] {
   const fresh = all
-    .filter(({ toldMs }) => toldMs >= facts.newestMs)
-    .slice(-MAX_FULL_TOLD);
+    .filter(({ updatedAtMs }) => updatedAtMs >= facts.freshSinceMs)
+    .slice(-MAX_FRESH_CRASHES);
   const old = all.filter(crash => !fresh.includes(crash) && !crash.goesOn);
   return [
     ...fresh.map(crash => reportOf(crash, [...crash.suspects], facts.nowMs)),
-    ...tellOld(old, facts),
+    ...selectOldReports(old, facts),
   ];
 }
--- a/packages/decisions/src/gateway/crashes/crashesOf.ts
+++ b/packages/decisions/src/gateway/crashes/crashesOf.ts
@@ -4,10 +4,11 @@
 import type { CrashedRun } from './crashNews.js';
 
 /**
- * Runs of replicas whose ends are held against a request.
+ * Finds the runs of replicas whose ends count against a request.
  *
  * @param board - the blackboard
- * @param request - its fingerprint is worked out only while any crash is known
+ * @param request - its fingerprint is computed only if a crash is known
+ * @returns the runs
  */
 export function crashesOf(
   { crashes }: GatewayBoard,
@@ -16,7 +17,12 @@
   return crashes.isEmpty ? [] : crashes.runsOf(request.fingerprint());
 }
 
-/** @returns whether a request crashed so many replicas that it is no longer sent */
+/**
+ * Whether a request has crashed so many replicas that it is no longer sent.
+ *
+ * @param board - the blackboard
+ * @param request - its fingerprint is computed only if a crash is known
+ */
 export function isBarred(
   board: GatewayBoard,
   request: GatewayRequest,
--- a/packages/decisions/src/gateway/crashes/noteCrash.ts
+++ b/packages/decisions/src/gateway/crashes/noteCrash.ts
@@ -3,12 +3,16 @@
 import type { AttemptResult } from '../recovery/AttemptResult.js';
 
 /**
- * Time after the first byte from which a request didn't end its replica: what crashes a
- * replica does so soon after it begins to run.
+ * Time from first to last byte after which a request is not suspected of a
+ * crash: a request that crashes its replica does so soon after it begins to
+ * run.
  */
-const HARMLESS_AFTER_MS = 1000;
+const CRASH_WINDOW_MS = 1000;
 
-/** Whether an attempt ended with the run of its replica, as far as this instance can tell. */
+/**
+ * Whether an attempt ended because its replica's run ended, as far as this
+ * instance can tell.
+ */
 function endedWithReplica(
   board: GatewayBoard,
   { load }: GatewayAttempt,
@@ -17,24 +21,29 @@
   if (result.kind === 'withdrawn') {
     return result.reason === 'replicaRestarted';
   }
-  // A replica that leaves as planned cuts what still runs there.
+  // A replica that leaves as planned cuts requests that still run there without
+  // a crash.
   return (
     result.kind === 'lost' &&
     board.replicas.find(load.replica.id)?.leaving === false
   );
 }
 
-function ranFor({ firstByteMs, lastByteMs }: GatewayAttempt): number {
+/**
+ * Time between the first and the last byte of an answer, in milliseconds; 0 if
+ * no byte came.
+ */
+function answeringMs({ firstByteMs, lastByteMs }: GatewayAttempt): number {
   return firstByteMs === null || lastByteMs === null
     ? 0
     : lastByteMs - firstByteMs;
 }
 
 /**
- * Takes the end of an attempt into what is known of crashes.
+ * Records what the end of an attempt says about crashes.
  *
  * @param board - the blackboard
- * @param attempt - that has just ended
+ * @param attempt - the attempt that has just ended
  * @param result - how it ended
  */
 export function noteCrash(
@@ -49,7 +58,7 @@
   }
   if (
     endedWithReplica(board, attempt, result) &&
-    ranFor(attempt) < HARMLESS_AFTER_MS
+    answeringMs(attempt) < CRASH_WINDOW_MS
   ) {
     board.crashes.onLost(load.replica, request.fingerprint());
   }
--- a/packages/decisions/tests/gateway/crashes/CrashLedger.test.ts
+++ b/packages/decisions/tests/gateway/crashes/CrashLedger.test.ts
@@ -9,7 +9,7 @@
 const CONTENT = brand<RequestFingerprint>('aaaaaaaaaaaaaaaa');
 const OTHER = brand<RequestFingerprint>('bbbbbbbbbbbbbbbb');
 const TEN_MINUTES_MS = 600_000;
-/** Longer than bytes of an earlier run can be under way. */
+/** Longer than bytes of an ended run can be in transit. */
 const LATER_MS = 500;
 
 const runOf = (name: string, bornMs: number | null = null) => ({
@@ -20,7 +20,7 @@
 interface Fixture {
   readonly clock: ManualClock;
   readonly ledger: CrashLedger;
-  /** Loses a request at several replicas, a second apart. */
+  /** Loses a request at several replicas, one second apart. */
   readonly lose: (content: RequestFingerprint, ...names: string[]) => void;
 }
 
@@ -41,7 +41,7 @@
 
 describe('CrashLedger', ({ describe: group }) => {
   group('bars a request', ({ it }) => {
-    it('that was lost where three replicas crashed', t => {
+    it('that was lost when three replicas crashed', t => {
       const { ledger, lose } = fixture();
       lose(CONTENT, 'a', 'b');
       t.deepEqual(ledger.barred, []);
@@ -50,7 +50,7 @@
       t.deepEqual(ledger.crashesOf(CONTENT), ['a', 'b', 'c']);
     });
 
-    it('by runs and not by replicas or attempts', t => {
+    it('by the number of runs, not of replicas or attempts', t => {
       const { ledger } = fixture();
       [1, 1, 1, 2].forEach(bornMs => {
         ledger.onLost(runOf('a', bornMs), CONTENT);
@@ -60,7 +60,7 @@
       t.deepEqual(ledger.barred, [CONTENT]);
     });
 
-    it('for ten minutes, and for longer after one more crash', t => {
+    it('for ten minutes, and for longer after another crash', t => {
       const { ledger, clock, lose } = fixture();
       lose(CONTENT, 'a', 'b', 'c');
       const waitMs = ledger.barredForMs(CONTENT);
@@ -74,8 +74,8 @@
     });
   });
 
-  group('holds nothing against a request', ({ it }) => {
-    it('that was served between the crashes', t => {
+  group('counts no crash against a request', ({ it }) => {
+    it('that was served between crashes', t => {
       const { ledger, lose } = fixture();
       lose(CONTENT, 'a', 'b');
       ledger.onServed(CONTENT);
@@ -97,23 +97,31 @@
       const { ledger, clock } = fixture();
       ledger.onLost(runOf('a', 1), CONTENT);
       ledger.onBytes(runOf('a', 1));
-      t.is(ledger.crashesOf(CONTENT).length, 1, 'bytes from before the end');
+      t.is(
+        ledger.crashesOf(CONTENT).length,
+        1,
+        'these bytes may have been sent before the end',
+      );
       clock.advance(LATER_MS);
       ledger.onBytes(runOf('a', 2));
-      t.is(ledger.crashesOf(CONTENT).length, 1, 'bytes of another run');
+      t.is(
+        ledger.crashesOf(CONTENT).length,
+        1,
+        'these bytes are of another run',
+      );
       ledger.onBytes(runOf('a', 1));
       t.true(ledger.isEmpty);
     });
 
-    it('that is not its own', t => {
+    it('with other content than the lost one', t => {
       const { ledger, lose } = fixture();
       lose(CONTENT, 'a', 'b', 'c');
       t.deepEqual(ledger.crashesOf(OTHER), []);
     });
   });
 
-  group('tells others', ({ it }) => {
-    it('of crashes that each saw one of', t => {
+  group('tells other instances', ({ it }) => {
+    it('of several crashes although each instance saw only one', t => {
       const instances = ['a', 'b', 'c'].map(name => {
         const one = fixture();
         one.lose(CONTENT, name);
@@ -126,7 +134,7 @@
       t.deepEqual(newcomer.barred, [CONTENT]);
     });
 
-    it('of what is barred long after, in few bytes', t => {
+    it('of a barred content long after the crashes, in a small message', t => {
       const { ledger, clock, lose } = fixture();
       lose(CONTENT, 'a', 'b', 'c');
       for (let other = 0; other < 200; other += 1) {
@@ -143,7 +151,7 @@
       t.deepEqual(newcomer.barred, [CONTENT]);
     });
 
-    it('that a run goes on after all', t => {
+    it('that a run continues after all', t => {
       const [here, there] = [fixture(), fixture()];
       here.ledger.onLost(runOf('a'), CONTENT);
       there.ledger.onPeer(here.ledger.news);
@@ -153,24 +161,28 @@
       t.true(here.ledger.isEmpty);
     });
 
-    it('once, and not again what it has heard', t => {
+    it('at once of a second loss, but not of a report that it has already heard', t => {
       const [here, there] = [fixture(), fixture()];
-      let told = 0;
+      let announcements = 0;
       there.ledger.onNews(() => {
-        told += 1;
+        announcements += 1;
       });
       here.lose(CONTENT, 'a');
       there.ledger.onPeer(here.ledger.news);
-      t.is(told, 0, 'what was lost once is told with the next message');
+      t.is(
+        announcements,
+        0,
+        'a first loss is told with the next regular message',
+      );
       here.lose(CONTENT, 'b');
       there.ledger.onPeer(here.ledger.news);
       there.ledger.onPeer(here.ledger.news);
-      t.is(told, 1);
+      t.is(announcements, 1);
     });
   });
 
-  group('is bounded', ({ it }) => {
-    it('in crashes and in what each of them holds', t => {
+  group('limits the number', ({ it }) => {
+    it('of crashes and of suspects of each crash', t => {
       const { ledger } = fixture();
       for (let run = 0; run < 1000; run += 1) {
         ledger.onLost(runOf(`s-${run}`), CONTENT);
--- a/packages/decisions/tests/gateway/crashes/suspectRequests.test.ts
+++ b/packages/decisions/tests/gateway/crashes/suspectRequests.test.ts
@@ -28,14 +28,14 @@
 const LOST: AttemptResult = { kind: 'lost', reason: 'socket hang up' };
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f'];
 
-interface Suspects extends GatewayFixture {
-  /** Sends the suspect content, or says why not. */
+interface SuspectFixture extends GatewayFixture {
+  /** Sends the suspect content; returns the code if it is refused. */
   readonly send: () => GatewayAttempt | string;
-  /** Sends it, and loses it with the run of its replica. */
+  /** Sends the suspect content and loses it when its replica crashes. */
   readonly crash: () => void;
 }
 
-function suspects(of = STREAM, names = NAMES): Suspects {
+function suspectFixture(of = STREAM, names = NAMES): SuspectFixture {
   const service = of.shares[0]?.service;
   const fixture = gatewayFixture(
     [of],
@@ -79,8 +79,8 @@
 }
 
 describe('a request that crashes replicas', ({ it }) => {
-  it('is refused with a time to come back once it has crashed three', t => {
-    const { crash, send, router, request } = suspects();
+  it('is refused with a retry-after once it has crashed three replicas', t => {
+    const { crash, send, router, request } = suspectFixture();
     [1, 2, 3].forEach(crash);
     t.is(send(), 'crashesBackends');
     const again = request(STREAM, [], { fingerprint: () => CONTENT });
@@ -89,13 +89,13 @@
   });
 
   it('is refused by plain services as well', t => {
-    const { crash, send } = suspects(UNSAFE);
+    const { crash, send } = suspectFixture(UNSAFE);
     [1, 2, 3].forEach(crash);
     t.is(send(), 'crashesBackends');
   });
 
-  it('is not sent again by the instance itself after two', t => {
-    const { crash, send, router } = suspects();
+  it('is not retried by the instance itself after two crashes', t => {
+    const { crash, send, router } = suspectFixture();
     crash();
     const attempt = send();
     t.not(typeof attempt, 'string');
@@ -108,8 +108,8 @@
     t.is(router.recover(attempt.request, LOST, counts).kind, 'answer');
   });
 
-  it('goes where the least is lost with it after two', t => {
-    const { crash, send, router, request, board } = suspects();
+  it('is sent to the replica with the fewest requests to lose after two crashes', t => {
+    const { crash, send, router, request, board } = suspectFixture();
     crash();
     crash();
     const quiet = brand<BackendServerId>('e');
@@ -125,16 +125,16 @@
     t.is(typeof attempt === 'string' ? '' : attempt.load.replica.id, quiet);
   });
 
-  // Guards against refusing it where all replicas have crashed and started again.
-  it('may go to a replica that started again under its id after two', t => {
-    const { crash, send } = suspects(STREAM, ['a']);
+  // Guards against refusing the request when all replicas crashed and restarted.
+  it('may be sent to a replica that restarted under the same id after two crashes', t => {
+    const { crash, send } = suspectFixture(STREAM, ['a']);
     crash();
     crash();
     t.not(typeof send(), 'string');
   });
 
-  it('is withdrawn where it has not begun, and does not leave', t => {
-    const { crash, send, router } = suspects();
+  it('is withdrawn from replicas where it has not begun, and not sent any more', t => {
+    const { crash, send, router } = suspectFixture();
     const early = send();
     [1, 2, 3].forEach(crash);
     t.deepEqual(router.findBarred(), [early]);
@@ -143,8 +143,8 @@
 });
 
 describe('a request that is lost with a replica', ({ it }) => {
-  it('is no suspect once it has run for a while', t => {
-    const { send, router, clock, board } = suspects();
+  it('is no suspect once it has been answered for a while', t => {
+    const { send, router, clock, board } = suspectFixture();
     const attempt = send();
     if (typeof attempt !== 'string') {
       router.onBytes(attempt);
@@ -155,8 +155,8 @@
     t.true(board.crashes.isEmpty);
   });
 
-  it('is no suspect where the replica was leaving', t => {
-    const { send, router, board } = suspects();
+  it('is no suspect if the replica was leaving', t => {
+    const { send, router, board } = suspectFixture();
     const attempt = send();
     if (typeof attempt !== 'string') {
       const { id } = attempt.load.replica;
@@ -167,8 +167,8 @@
     t.true(board.crashes.isEmpty);
   });
 
-  it('is one where the replica has started again without a sign', t => {
-    const { send, router, board } = suspects();
+  it('is a suspect if the replica restarted before any byte of the answer', t => {
+    const { send, router, board } = suspectFixture();
     const attempt = send();
     if (typeof attempt !== 'string') {
       router.onEnded(attempt, {
