--- a/packages/decisions/src/gateway/limits/ReplicaLimits.ts
+++ b/packages/decisions/src/gateway/limits/ReplicaLimits.ts
@@ -12,7 +12,7 @@
 import type { ReplicaRegistry } from '../ReplicaRegistry.js';
 import { limitShare } from './limitShare.js';
 
-/** What an instance needs to know to take its part of limits. */
+/** What an instance needs to know to compute its share of replica limits. */
 export interface LimitContext {
   readonly instance: InstanceId;
   readonly clock: Clock;
@@ -20,47 +20,56 @@
 }
 
 /**
- * Requests that an instance may send at once after a pause. The most urgent need one
- * token, so that the second is theirs as well when others have to wait for it.
+ * Allows two requests at once after a pause. The most urgent requests need only
+ * one token, so the second one is left to them while others have to wait for
+ * more.
  */
 const BURST: BurstRule = { capacity: () => 2, startsFull: false };
-/** Tokens that a request needs to be there, by its priority; the last one for all others. */
-const NEEDED = [1, 1.25, 1.5];
-/** Rate at which a replica that takes nothing is asked whether that has changed. */
-const MIN_PER_S = 0.25;
 /**
- * Time by which news of the end of a limit has to be newer than the limit. It may have
- * been under way for as long, and then be older.
+ * Tokens that must be in the bucket before a request is sent, by its priority;
+ * the last entry applies to all others.
+ */
+const REQUIRED_TOKENS = [1, 1.25, 1.5];
+/**
+ * Rate at which requests still probe a replica that reports a limit of 0, per
+ * second.
+ */
+const MIN_RATE_PER_S = 0.25;
+/**
+ * Time by which a peer's report of the end of a limit has to be newer than the
+ * limit, in milliseconds. A report may be under way for that long, so one that
+ * looks only slightly newer may be older than the limit.
  */
 const END_SLACK_MS = 500;
 
 /**
- * Keeps the sum of what all instances send to a replica within the limit it names.
+ * Keeps the sum of what all instances send to a replica within the limit that
+ * the replica reports.
  *
- * Guards against a replica in need that gets more than it takes, though each instance
- * by itself sends little. A few instances share each limit; the others use other
- * replicas. A new sender begins without a token, and so after the one before it has
- * heard of the change.
+ * Guards against overloading a replica although each instance by itself sends
+ * it little. A few instances share each limit; the others use other replicas. A
+ * new sender starts with an empty bucket, so that it sends only after the
+ * previous sender has heard of the change.
  */
 export class ReplicaLimits {
   readonly #buckets = new Map<BackendServerId, TokenBucket>();
   readonly #listeners: (() => void)[] = [];
-  readonly #changedMs = new Map<BackendServerId, number>();
+  readonly #changedAtMs = new Map<BackendServerId, number>();
   #live: readonly InstanceId[] = [];
   #rank = 0;
-  #places = new Map<BackendServerId, { index: number; replicas: number }>();
-  #placesVersion = -1;
+  #positions = new Map<BackendServerId, { index: number; replicas: number }>();
+  #positionsVersion = -1;
 
   constructor(private readonly context: LimitContext) {
     this.#live = [context.instance];
   }
 
-  /** Adds a listener that is told whenever a limit has changed. */
+  /** Adds a listener that is called whenever a limit has changed. */
   onNews(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
-  /** Tells which instances live. */
+  /** Updates the list of live instances. */
   onInstances(live: readonly InstanceId[]): void {
     const known = new Set(this.#live);
     if (live.length === known.size && live.every(id => known.has(id))) {
@@ -70,25 +79,31 @@
     this.#rank = [...live].sort(byHash).indexOf(this.context.instance);
   }
 
-  /** Takes in what a replica said to this instance. */
+  /** Applies the limit that a replica reported to this instance. */
   onAnswer(load: BackendLoad, limit: NamedLimit): void {
-    this.#note(load, limit);
+    this.#applyLimit(load, limit);
   }
 
-  /** Takes in what a replica said to another instance. */
+  /**
+   * Applies the limit that a replica reported to another instance, if it is
+   * newer.
+   */
   onPeer(load: BackendLoad, limit: NamedLimit): void {
     const known = load.limit;
-    const isEnd = limit.perS === null && load.limitPerS !== null;
-    const slackMs = isEnd ? END_SLACK_MS : 0;
+    const isLimitEnd = limit.perS === null && load.limitPerS !== null;
+    const slackMs = isLimitEnd ? END_SLACK_MS : 0;
     if (limit.atMs > (known?.atMs ?? -Infinity) + slackMs) {
-      this.#note(load, limit);
+      this.#applyLimit(load, limit);
     }
   }
 
-  /** How long ago this instance learnt of a change, in milliseconds. */
+  /**
+   * Time since this instance learnt of the last change of a limit, in
+   * milliseconds.
+   */
   changeAgeMs({ replica }: BackendLoad): number {
     return (
-      this.context.clock() - (this.#changedMs.get(replica.id) ?? -Infinity)
+      this.context.clock() - (this.#changedAtMs.get(replica.id) ?? -Infinity)
     );
   }
 
@@ -96,44 +111,47 @@
    * Whether a request may be sent to a replica now.
    *
    * @param load - of the replica
-   * @param priority - of the request, 0 first
+   * @param priority - of the request; 0 is the most urgent
    */
   mayTake(load: BackendLoad, priority: number): boolean {
     const bucket = this.#bucketOf(load);
     return (
       bucket === null ||
-      bucket.level(this.context.clock()) >= neededBy(priority)
+      bucket.level(this.context.clock()) >= requiredTokens(priority)
     );
   }
 
   /**
    * Time until a request may be sent to a replica, in milliseconds.
    *
-   * @returns infinity where other instances share its limit
+   * @param load - of the replica
+   * @param priority - of the request; 0 is the most urgent
+   * @returns Infinity if other instances share the replica's limit
    */
   waitMs(load: BackendLoad, priority: number): number {
     const bucket = this.#bucketOf(load);
     return bucket === null
       ? 0
-      : bucket.timeToMs(neededBy(priority), this.context.clock());
+      : bucket.timeToMs(requiredTokens(priority), this.context.clock());
   }
 
-  /** Notes that a request goes to a replica. */
+  /** Takes a token for a request that is sent to a replica. */
   take(load: BackendLoad): void {
     this.#bucketOf(load)?.take(1);
   }
 
-  /** Notes that a request did not reach a replica after all. */
+  /** Returns the token of a request that did not reach its replica. */
   giveBack(load: BackendLoad): void {
     this.#bucketOf(load)?.take(-1);
   }
 
-  #note(load: BackendLoad, limit: NamedLimit): void {
+  #applyLimit(load: BackendLoad, limit: NamedLimit): void {
     const before = load.limitPerS;
     load.onLimit(limit);
     if (load.limitPerS !== before) {
-      this.#changedMs.set(load.replica.id, this.context.clock());
-      // Tokens are saved up from now on, not from the first request on.
+      this.#changedAtMs.set(load.replica.id, this.context.clock());
+      // Creates the bucket now, so that tokens accumulate from the change on
+      // and not from the first request on.
       this.#bucketOf(load);
       this.#listeners.forEach(listener => {
         listener();
@@ -141,7 +159,7 @@
     }
   }
 
-  /** The bucket of a replica that names a limit; null where it names none. */
+  /** Finds the bucket of a replica with a limit; null if it has none. */
   #bucketOf(load: BackendLoad): TokenBucket | null {
     const perS = load.limitPerS;
     const { id } = load.replica;
@@ -150,7 +168,7 @@
       return null;
     }
     const nowMs = this.context.clock();
-    const share = this.#shareOf(load, Math.max(MIN_PER_S, perS));
+    const share = this.#shareOf(load, Math.max(MIN_RATE_PER_S, perS));
     const bucket = this.#buckets.get(id) ?? new TokenBucket(0, nowMs, BURST);
     this.#buckets.set(id, bucket);
     bucket.setRate(share, nowMs);
@@ -161,8 +179,8 @@
   }
 
   #shareOf({ replica }: BackendLoad, perS: number): number {
-    this.#placeReplicas();
-    const place = this.#places.get(replica.id);
+    this.#updatePositions();
+    const place = this.#positions.get(replica.id);
     return place
       ? limitShare(perS, {
           ...place,
@@ -172,14 +190,16 @@
       : 0;
   }
 
-  /** Puts the replicas of each service in an order that all instances agree on. */
-  #placeReplicas(): void {
+  /**
+   * Puts the replicas of each service in an order on which all instances agree.
+   */
+  #updatePositions(): void {
     const { replicas } = this.context;
-    if (this.#placesVersion === replicas.changedAt) {
+    if (this.#positionsVersion === replicas.changedAt) {
       return;
     }
-    this.#placesVersion = replicas.changedAt;
-    this.#places = new Map();
+    this.#positionsVersion = replicas.changedAt;
+    this.#positions = new Map();
     const byService = new Map<ServiceId, BackendServerId[]>();
     replicas.replicas.forEach(({ id, service }) => {
       const ids = byService.get(service) ?? [];
@@ -191,18 +211,18 @@
         .map(id => ({ known: id, ...hashed(id) }))
         .sort(byHashed)
         .forEach(({ known }, index) => {
-          this.#places.set(known, { index, replicas: ids.length });
+          this.#positions.set(known, { index, replicas: ids.length });
         });
     });
-    [...this.#changedMs.keys()]
-      .filter(id => !this.#places.has(id))
+    [...this.#changedAtMs.keys()]
+      .filter(id => !this.#positions.has(id))
       .forEach(id => {
-        this.#changedMs.delete(id);
+        this.#changedAtMs.delete(id);
         this.#buckets.delete(id);
       });
   }
 }
 
-function neededBy(priority: number): number {
-  return NEEDED[priority] ?? NEEDED.at(-1) ?? 1;
+function requiredTokens(priority: number): number {
+  return REQUIRED_TOKENS[priority] ?? REQUIRED_TOKENS.at(-1) ?? 1;
 }
--- a/packages/decisions/src/gateway/limits/limitNews.ts
+++ b/packages/decisions/src/gateway/limits/limitNews.ts
@@ -4,41 +4,46 @@
 import type { GatewayBoard } from '../GatewayBoard.js';
 import { isSameRun } from '../replicaRuns.js';
 
-/** What a replica last said of its limit, as instances tell it. */
+/** What a replica last reported of its limit, as instances tell each other. */
 export interface LimitReport {
   readonly id: BackendServerId;
-  /** Start of its run in Unix milliseconds; null where that is unknown. */
+  /** Start of its run in Unix milliseconds; null if unknown. */
   readonly bornMs: number | null;
-  /** Requests a second; null where it names no limit any more. */
+  /** Requests a second; null if the replica no longer has a limit. */
   readonly perS: number | null;
+  /** Time since the replica reported it, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** Time for which a change is part of every message. */
-const RETELL_MS = 3000;
-/** Changes in one message, at most. */
-const MAX_FRESH = 64;
-/** Limits besides that a message tells, drawn at random. */
-const MAX_OLD = 8;
+/** Time for which a change is part of every message to other instances. */
+const REBROADCAST_MS = 3000;
+/** Maximum number of recent changes in a message. */
+const MAX_FRESH_REPORTS = 64;
+/** Maximum number of other limits in a message, chosen at random. */
+const MAX_OLD_REPORTS = 8;
 
-interface Known {
+interface KnownLimit {
   readonly load: BackendLoad;
   readonly limit: NamedLimit;
 }
 
-function drawn(
+function sampleOf(
   { random }: GatewayBoard,
-  known: readonly Known[],
-): readonly Known[] {
+  known: readonly KnownLimit[],
+): readonly KnownLimit[] {
   const start = Math.floor(random() * known.length);
-  return [...known.slice(start), ...known.slice(0, start)].slice(0, MAX_OLD);
+  return [...known.slice(start), ...known.slice(0, start)].slice(
+    0,
+    MAX_OLD_REPORTS,
+  );
 }
 
 /**
- * What this instance tells others of limits: what has changed lately, and some of the rest
- * for those who have missed it.
+ * Selects what this instance tells others of limits: recent changes, and some
+ * of the rest for instances that missed them.
  *
  * @param board - the blackboard
+ * @returns the reports
  */
 export function limitNews(board: GatewayBoard): readonly LimitReport[] {
   const known = [...board.backends.values()].flatMap(load =>
@@ -47,13 +52,13 @@
   if (known.length === 0) {
     return [];
   }
-  const isFresh = ({ load }: Known): boolean =>
-    board.limits.changeAgeMs(load) < RETELL_MS;
-  const old = known.filter(one => !isFresh(one));
+  const isFresh = ({ load }: KnownLimit): boolean =>
+    board.limits.changeAgeMs(load) < REBROADCAST_MS;
+  const old = known.filter(entry => !isFresh(entry));
   const nowMs = board.clock();
   return [
-    ...known.filter(isFresh).slice(0, MAX_FRESH),
-    ...drawn(board, old),
+    ...known.filter(isFresh).slice(0, MAX_FRESH_REPORTS),
+    ...sampleOf(board, old),
   ].map(({ load: { replica }, limit }) => ({
     id: replica.id,
     bornMs: replica.bornMs,
@@ -62,7 +67,13 @@
   }));
 }
 
-/** Takes in what another instance tells of limits. */
+/**
+ * Applies the limits that another instance reported.
+ *
+ * @param board - the blackboard
+ * @param reports - the limits; those of unknown replicas and of other runs are
+ *   ignored
+ */
 export function takeLimits(
   board: GatewayBoard,
   reports: readonly LimitReport[],
--- a/packages/decisions/src/gateway/limits/limitShare.ts
+++ b/packages/decisions/src/gateway/limits/limitShare.ts
@@ -1,24 +1,28 @@
-/** Where an instance and a replica stand among all of them, in orders that all agree on. */
+/**
+ * Positions of an instance and a replica, in orders on which all instances
+ * agree.
+ */
 export interface LimitPlace {
-  /** Place of the instance, 0 for the first. */
+  /** Position of the instance; the first is 0. */
   readonly rank: number;
   readonly instances: number;
-  /** Place of the replica among those of its service. */
+  /** Position of the replica among those of its service. */
   readonly index: number;
   readonly replicas: number;
 }
 
 /**
- * Instances that share a limit, which is about one for each request a second.
+ * Number of instances that share a limit, about one for each request a second.
  *
- * A power of two, so that a limit that changes a little keeps its senders.
+ * It is a power of two, so that a small change of the limit keeps the same
+ * senders.
  */
-function sendersOf(perS: number, instances: number): number {
+function senderCount(perS: number, instances: number): number {
   const senders = 2 ** Math.floor(Math.log2(Math.max(1, perS)));
   return Math.min(senders, instances);
 }
 
-/** Whether an instance is one of so many evenly spaced senders to a replica. */
+/** Whether an instance is among the evenly spaced senders to a replica. */
 function isSender(
   { rank, instances, index, replicas }: LimitPlace,
   senders: number,
@@ -30,18 +34,19 @@
 }
 
 /**
- * Part of a replica's limit that one instance may use.
+ * Computes the part of a replica's limit that one instance may use.
  *
- * Shared by all instances, a small limit would be a request in a minute for each, and
- * what many have saved up while idle would come at once. So a few instances share it,
- * and the replicas of a service have theirs spread evenly over the fleet. A join or
- * leave moves each of them by one place at most.
+ * Divided among all instances, a small limit would allow each of them about one
+ * request a minute, and the tokens that many instances saved while idle would
+ * be spent at once. So a few instances share each limit, and the senders to a
+ * service's replicas are spread evenly over the fleet. When an instance joins
+ * or leaves, each sender moves by at most one position.
  *
- * @param perS - the limit, requests a second
- * @param place - of the instance and the replica
- * @returns requests a second; 0 where other instances share the limit
+ * @param perS - the limit, in requests a second
+ * @param place - positions of the instance and the replica
+ * @returns requests a second; 0 if other instances share the limit
  */
 export function limitShare(perS: number, place: LimitPlace): number {
-  const senders = sendersOf(perS, place.instances);
+  const senders = senderCount(perS, place.instances);
   return isSender(place, senders) ? perS / senders : 0;
 }
--- a/packages/decisions/tests/gateway/limits/ReplicaLimits.test.ts
+++ b/packages/decisions/tests/gateway/limits/ReplicaLimits.test.ts
@@ -14,7 +14,7 @@
 
 interface Limited extends GatewayFixture {
   readonly load: BackendLoad;
-  /** Lets a replica name a limit in an answer to this instance. */
+  /** Lets the replica report a limit in an answer to this instance. */
   readonly name: (perS: number | null) => void;
   readonly send: () => GatewayAttempt | string;
 }
@@ -51,8 +51,8 @@
   );
 
 describe('ReplicaLimits', ({ describe: group }) => {
-  group('lets requests go', ({ it }) => {
-    it('freely while no limit is named, and again when it ends', t => {
+  group('allows requests', ({ it }) => {
+    it('without restriction while there is no limit, and again when a limit ends', t => {
       const { board, load, name } = limited();
       t.true(board.limits.mayTake(load, LAST));
       name(4);
@@ -73,7 +73,7 @@
       t.true(board.limits.waitMs(load, URGENT) <= 250);
     });
 
-    it('urgent before less urgent', t => {
+    it('of urgent callers before less urgent ones', t => {
       const { board, load, name, clock } = limited();
       name(4);
       clock.advance(250);
@@ -83,7 +83,7 @@
       t.true(board.limits.mayTake(load, LAST));
     });
 
-    it('with no more than two saved up', t => {
+    it('in bursts of at most two', t => {
       const { board, load, name, clock } = limited();
       name(4);
       clock.advance(60_000);
@@ -94,7 +94,7 @@
       t.false(board.limits.mayTake(load, URGENT));
     });
 
-    it('once more where one did not reach the replica', t => {
+    it('in place of one that did not reach the replica', t => {
       const { router, name, send, clock } = limited();
       name(4);
       clock.advance(250);
@@ -107,7 +107,7 @@
       t.not(typeof send(), 'string');
     });
 
-    it('now and then to a replica that takes nothing', t => {
+    it('occasionally to a replica with a limit of 0', t => {
       const { name, send, clock } = limited();
       name(0);
       clock.advance(2000);
@@ -118,7 +118,7 @@
   });
 
   group('shares a limit', ({ it }) => {
-    it('with a few instances, which begin without anything saved up', t => {
+    it('among a few instances, which start with an empty bucket', t => {
       const { board, router, load, name, clock } = limited();
       name(4);
       clock.advance(60_000);
@@ -130,7 +130,7 @@
       t.true(board.limits.mayTake(load, URGENT));
     });
 
-    it('and goes to other replicas, or says when to come back', t => {
+    it('and uses other replicas, or refuses with a retry-after', t => {
       const { name, send, clock, router, request } = limited(NAMES);
       name(2);
       const attempt = send();
@@ -143,8 +143,8 @@
     });
   });
 
-  group('hears from others', ({ it }) => {
-    it('of a limit, of its end, and nothing of another run', t => {
+  group('exchanges limits with other instances', ({ it }) => {
+    it('and applies a limit and its end, but no limit of another run', t => {
       const [here, there] = [limited(), limited()];
       here.name(4);
       takeLimits(there.board, limitNews(here.board));
@@ -162,7 +162,7 @@
       t.is(there.load.limitPerS, null);
     });
 
-    it('of an end that is older than the limit, and keeps the limit', t => {
+    it('and keeps a limit that is newer than the end that another one reports', t => {
       const { board, load, name } = limited();
       name(4);
       const { id, bornMs } = load.replica;
@@ -170,14 +170,14 @@
       t.is(load.limitPerS, 4);
     });
 
-    it('and tells changes at once, the rest by and by', t => {
+    it('and announces changes at once, the rest over time', t => {
       const { board, name, clock } = limited();
-      let told = 0;
+      let announcements = 0;
       board.limits.onNews(() => {
-        told += 1;
+        announcements += 1;
       });
       [null, 4, 4, 5, null].forEach(name);
-      t.is(told, 3);
+      t.is(announcements, 3);
       clock.advance(10_000);
       t.is(limitNews(board).length, 1);
       t.deepEqual(limitNews(limited().board), []);
--- a/packages/decisions/tests/gateway/limits/limitShare.test.ts
+++ b/packages/decisions/tests/gateway/limits/limitShare.test.ts
@@ -5,7 +5,7 @@
 const SIZES = [1, 2, 6, 8, 60, 195, 370];
 const LIMITS = [0.25, 0.5, 1, 4.4, 20, 300];
 
-/** Shares of each instance in the limit of one replica. */
+/** Share of each instance in the limit of one replica. */
 function sharesOf(
   perS: number,
   instances: number,
@@ -22,7 +22,7 @@
   numbers.reduce((total, one) => total + one, 0);
 
 describe('limitShare', ({ it }) => {
-  it('adds up to the limit in fleets of any size', t => {
+  it('gives shares that add up to the limit in fleets of any size', t => {
     SIZES.forEach(instances => {
       LIMITS.forEach(perS => {
         const total = sum(sharesOf(perS, instances, 2, 6));
@@ -31,7 +31,7 @@
     });
   });
 
-  it('lets few instances send where little is allowed', t => {
+  it('gives only a few instances a share of a low limit', t => {
     const shares = sharesOf(4.4, 195, 3, 55);
     t.is(shares.filter(isSender).length, 4);
   });
@@ -43,17 +43,17 @@
     const rates = Array.from({ length: 195 }, (_, rank) =>
       sum(ofEach.map(shares => shares[rank] ?? 0)),
     );
-    // 220 places for 195 instances.
+    // Four senders for each of 55 replicas are 220 shares for 195 instances.
     t.true(rates.every(rate => rate >= 1.1 && rate <= 2.2));
   });
 
-  it('keeps its senders when the limit changes a little', t => {
+  it('keeps the same senders when the limit changes a little', t => {
     const before = sharesOf(4.4, 60, 1, 12).map(isSender);
     const after = sharesOf(5.1, 60, 1, 12).map(isSender);
     t.deepEqual(after, before);
   });
 
-  it('moves each sender by one place at most when an instance leaves', t => {
+  it('moves each sender by at most one position when an instance leaves', t => {
     const places = (instances: number): readonly number[] =>
       sharesOf(4.4, instances, 1, 12).flatMap((share, rank) =>
         isSender(share) ? [rank] : [],
