--- a/packages/decisions/src/gateway/placement/PlacementPolicy.ts
+++ b/packages/decisions/src/gateway/placement/PlacementPolicy.ts
@@ -2,44 +2,51 @@
 
 import type { BackendLoad, GatewayRequest } from '../BackendLoad.js';
 
-/** Prompt parts that a replica copies from another before it reads the rest. */
+/**
+ * Prompt parts that a replica copies from another replica's cache before it
+ * reads the rest.
+ */
 export interface CacheFetch {
   readonly from: Replica;
-  /** Tokens that are probably copied. */
+  /** Tokens that are expected to be copied. */
   readonly tokens: number;
+  /** Expected duration of the copy, in milliseconds. */
   readonly tookMs: number;
-  /** Whether this instance knows that they are there. */
+  /** Whether this instance knows that the other replica caches them. */
   readonly isKnown: boolean;
 }
 
-/** A replica with what is expected of it. */
+/** A replica with the predictions for a request that is placed there. */
 export interface PlacedCandidate {
   readonly load: BackendLoad;
-  /** Prompt tokens that it would have to read for the request. */
+  /** Prompt tokens of the request that the replica would have to read. */
   readonly unreadTokens: number;
-  /** Prompt tokens to be read there up to the end of the request. */
+  /** Prompt tokens to be read there until the request's own prompt is read. */
   readonly tokensAhead: number;
-  /** Null where nothing is copied. */
+  /** Null if nothing is copied. */
   readonly fetch: CacheFetch | null;
-  /** Whether it steps behind what can still be on time at the replica. */
+  /** Whether the replica serves it after requests that can still be on time. */
   readonly isDeferred: boolean;
-  /** Expected time to the first event, or to the whole answer. */
+  /**
+   * Predicted time to the first event, or to the complete answer of a plain
+   * service, in milliseconds.
+   */
   readonly predictedMs: number;
-  /** The part of it in which the request's own prompt is read. */
+  /** Part of `predictedMs` in which the request's own prompt is read. */
   readonly ownReadMs: number;
-  /** Expected time to the end of the answer. */
+  /** Predicted time until the answer is complete, in milliseconds. */
   readonly predictedWholeMs: number;
-  /** Predicted time plus what else speaks against the replica; least wins. */
+  /** Predicted time plus penalties, in milliseconds; the lowest wins. */
   readonly cost: number;
 }
 
 /**
- * Chooses among replicas that may take a request.
+ * Ranks the replicas that may take a request.
  *
- * Told with `isDeferred` that the request is late anyway, it counts all that is
- * ahead of the request then.
+ * With `isDeferred` the request is late anyway, and everything that is served
+ * before a late request counts as ahead of it.
  *
- * @returns all candidates, best first; empty where there are none
+ * @returns all candidates, best first; empty if there are none
  */
 export type PlacementPolicy = (
   request: GatewayRequest,
--- a/packages/decisions/src/gateway/placement/cacheFetch.ts
+++ b/packages/decisions/src/gateway/placement/cacheFetch.ts
@@ -5,36 +5,44 @@
 import type { CacheFetch } from './PlacementPolicy.js';
 
 /**
- * Tokens below which a fetch is not worth its set-up: reading so few takes an
- * engine less than twenty milliseconds.
+ * Fetches of fewer tokens are not worth their set-up, since an engine reads so
+ * few in less than 20 ms.
  */
 const MIN_FETCH_TOKENS = 512;
-/** Time to set a transfer up, assumed as the configuration doesn't tell it. */
+/**
+ * Time to set up a transfer; assumed, because the configuration doesn't state
+ * it.
+ */
 const SETUP_MS = 5;
 /**
- * Transfers of one replica run one after another, and half of them cross failure
- * domains, where they take twice as long; so one takes about this much longer.
+ * Factor by which a transfer takes longer than its bits at full speed.
+ * Transfers of one replica run one after another, and half of them cross
+ * failure domains, where they take twice as long.
  */
 const QUEUE_FACTOR = 2;
 const BITS_PER_BYTE = 8;
-const BITS_PER_MS_OF_MBPS = 1000;
+const BITS_PER_MS_PER_MBPS = 1000;
 
-/** What one replica probably keeps of the shared parts of a prompt. */
-export interface Holder {
+/** What one replica probably caches of the shared parts of a prompt. */
+export interface CacheHolder {
   readonly load: BackendLoad;
   readonly tokens: number;
-  /** Whether this instance sent them there itself; else they are only hoped for. */
+  /**
+   * Whether this instance sent them there itself; otherwise it is only likely
+   * that they are cached.
+   */
   readonly isKnown: boolean;
 }
 
 /**
- * The replica on which all instances would put a prompt part.
+ * Finds the home replica of a prompt part by rendezvous hashing, so that all
+ * instances choose the same one.
  *
- * @param part - of a prompt
- * @param loads - replicas among which it is sought
- * @returns undefined where there are none
+ * @param part - part of a prompt
+ * @param loads - candidate replicas
+ * @returns undefined if there are no candidates
  */
-export function homeOf(
+export function homeReplica(
   part: PromptPart,
   loads: readonly BackendLoad[],
 ): BackendLoad | undefined {
@@ -50,9 +58,9 @@
 /**
  * Time that a fetch takes, in milliseconds.
  *
- * @param tokens - to be copied
- * @param spec - tells size and speed
- * @returns null where the engines can't copy their caches
+ * @param tokens - number of tokens to copy
+ * @param spec - states the cache size of a token and the transfer speed
+ * @returns null if the engines can't copy caches
  */
 function fetchMs(tokens: number, spec: EngineSpec | null): number | null {
   if (!spec?.transfer) {
@@ -60,20 +68,23 @@
   }
   const { bytesPerToken, megabitsPerS } = spec.transfer;
   const bits = tokens * bytesPerToken * BITS_PER_BYTE;
-  const copyMs = bits / (megabitsPerS * BITS_PER_MS_OF_MBPS);
+  const copyMs = bits / (megabitsPerS * BITS_PER_MS_PER_MBPS);
   return SETUP_MS + QUEUE_FACTOR * copyMs;
 }
 
 /**
- * The replicas that probably keep most of a prompt, found once for all candidates.
+ * Finds the replicas that probably cache most of a prompt, once for all
+ * candidates.
  *
- * @param holders - what each replica keeps
- * @returns the one that keeps most and the next, since a replica copies nothing
- * from itself; fewer where there are fewer
+ * @param holders - what each replica caches
+ * @returns the replica that caches most and the next one, since a replica
+ *   copies nothing from itself; fewer if there are fewer
  */
-export function bestHolders(holders: readonly Holder[]): readonly Holder[] {
-  const most = (of: readonly Holder[]): Holder | undefined =>
-    of.reduce<Holder | undefined>(
+export function bestHolders(
+  holders: readonly CacheHolder[],
+): readonly CacheHolder[] {
+  const most = (of: readonly CacheHolder[]): CacheHolder | undefined =>
+    of.reduce<CacheHolder | undefined>(
       (best, holder) => (holder.tokens > (best?.tokens ?? 0) ? holder : best),
       undefined,
     );
@@ -82,27 +93,34 @@
   return [first, second].flatMap(holder => holder ?? []);
 }
 
-/** What decides on a fetch. */
-export interface FetchFacts {
-  /** Those that keep most of the shared parts, best first, whichever group they serve. */
-  readonly holders: readonly Holder[];
-  /** Where the request would go. */
+/** Input to the decision on a fetch. */
+export interface FetchInput {
+  /**
+   * Replicas that cache most of the shared parts, best first, whichever group
+   * they serve.
+   */
+  readonly holders: readonly CacheHolder[];
+  /** Replica on which the request would run. */
   readonly target: BackendLoad;
-  /** What that one probably keeps itself, in tokens. */
+  /** Prompt tokens that the target probably caches itself. */
   readonly ownTokens: number;
+  /** Prompt tokens that an engine reads per millisecond. */
   readonly tokensPerMs: number;
   readonly spec: EngineSpec | null;
 }
 
 /**
- * Says from where a replica should copy what it lacks of a prompt's shared parts.
+ * Chooses the replica from which the target should copy the shared prompt parts
+ * that it lacks.
  *
- * A burst of long prompts finds the replica that keeps their shared parts full.
- * Sent to another one, the parts would be read there again, which takes its time
- * from everybody; copied, they take the link's.
+ * In a burst of long prompts, the replica that caches their shared parts is
+ * full. Another replica would have to read the parts again, which delays all of
+ * its requests; a copy uses the network link instead.
  *
- * @param facts - who keeps what, and how fast it is read and copied
- * @returns null where reading is as quick, or nobody is known to keep more
+ * @param input - what each replica caches, and how fast tokens are read and
+ *   copied
+ * @returns null if reading takes no longer, or no other replica is known to
+ *   cache more
  */
 export function chooseFetch({
   holders,
@@ -110,7 +128,7 @@
   ownTokens,
   tokensPerMs,
   spec,
-}: FetchFacts): CacheFetch | null {
+}: FetchInput): CacheFetch | null {
   const best = holders.find(({ load }) => load !== target);
   const tokens = (best?.tokens ?? 0) - ownTokens;
   const tookMs = fetchMs(tokens, spec);
--- a/packages/decisions/src/gateway/placement/groupSegments.ts
+++ b/packages/decisions/src/gateway/placement/groupSegments.ts
@@ -5,27 +5,33 @@
 import type { ToleranceGroup } from './toleranceGroups.js';
 import { toleranceGroups } from './toleranceGroups.js';
 
-/** How replicas are shared out among groups of routes. */
+/** How replicas are divided among groups of routes. */
 export interface SegmentOptions {
-  /** Share of the time for which replicas of the most delicate group may read prompts. */
+  /**
+   * Share of the time for which replicas of the most delicate group, the one
+   * that tolerates the shortest delay, may read prompts.
+   */
   readonly delicateUse: number;
-  /** The same for the groups between the first and the last. */
+  /** The same share for the groups between the first and the last. */
   readonly middleUse: number;
   /** Share of a replica's slots that a group should fill. */
   readonly slotUse: number;
-  /** Share of the replicas that the most tolerant group keeps in any case. */
+  /** Smallest share of the replicas that the most tolerant group gets. */
   readonly minLastShare: number;
-  /** Share of the replicas that the most delicate group keeps in any case. */
+  /** Smallest share of the replicas that the most delicate group asks for. */
   readonly minDelicateShare: number;
 }
 
-/** Where a request may go: its own group's replicas and, at a price, those of others. */
+/**
+ * Replicas for a request: those of its own group and, at an extra cost, those
+ * of other groups.
+ */
 export interface Segments {
   readonly own: readonly BackendLoad[];
   readonly others: readonly BackendLoad[];
 }
 
-/** Whether all requests of a group's routes are less urgent than one. */
+/** Whether every route of a group is less urgent than a request. */
 function isLessUrgent(
   { table }: GatewayBoard,
   { routes }: ToleranceGroup,
@@ -35,7 +41,10 @@
   return !others.some(({ route }) => routes.includes(route.id));
 }
 
-/** Finds the replicas of a request's group, and of those that it may use as well. */
+/**
+ * Finds the replicas of a request's group and those of other groups that it may
+ * use.
+ */
 type SegmentsFor = (
   request: GatewayRequest,
   ranked: readonly BackendLoad[],
@@ -44,18 +53,22 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * Shares the replicas of a service out among its groups by their demand.
+ * Divides the replicas of a service among its groups by their demand.
  *
- * @param board - knows the demand of all instances
+ * @param board - knows the demand at all instances
  * @param options - how full groups may be
- * @returns the replicas of a request, out of all in one order for all instances
+ * @returns a function that finds a request's replicas, given all replicas in an
+ *   order on which all instances agree
  */
 export function createGroupSegments(
   board: GatewayBoard,
   options: SegmentOptions,
 ): SegmentsFor {
-  /** Replicas that a group needs so that prompts and slots leave it enough room. */
-  const needOf = (
+  /**
+   * Number of replicas, possibly fractional, at which a group's prompts and
+   * slots stay within the shares of the options.
+   */
+  const replicasNeeded = (
     { routes }: ToleranceGroup,
     index: number,
     request: GatewayRequest,
@@ -64,9 +77,10 @@
     const { engine } = learningOf(board, service.id);
     const { tokensPerS, inFlight } = board.demand.total(routes);
     const use = index === 0 ? options.delicateUse : options.middleUse;
-    const byTokens = tokensPerS / MS_PER_SECOND / engine.tokensPerMs / use;
+    const replicasForTokens =
+      tokensPerS / MS_PER_SECOND / engine.tokensPerMs / use;
     const slots = service.engine?.slots ?? 1;
-    return Math.max(byTokens, inFlight / (slots * options.slotUse));
+    return Math.max(replicasForTokens, inFlight / (slots * options.slotUse));
   };
 
   return (request, ranked) => {
@@ -81,8 +95,8 @@
     }
     const sizes = splitReplicas(
       groups.map((group, place) => ({
-        replicas: needOf(group, place, request),
-        least: place === 0 ? options.minDelicateShare * ranked.length : 1,
+        replicas: replicasNeeded(group, place, request),
+        minReplicas: place === 0 ? options.minDelicateShare * ranked.length : 1,
       })),
       ranked.length,
       options.minLastShare,
@@ -92,8 +106,9 @@
       const start = before.reduce((sum, other) => sum + other, 0);
       return ranked.slice(start, start + size);
     });
-    // A more delicate group keeps its replicas for itself unless all that is its own
-    // is less urgent: an urgent request is not turned away while it has room.
+    // A more delicate group keeps its replicas to itself, unless all of its
+    // routes are less urgent than the request: an urgent request is not turned
+    // away while less urgent groups have room.
     const mayUse = (group: ToleranceGroup, place: number): boolean =>
       place > index || (place < index && isLessUrgent(board, group, request));
     return {
--- a/packages/decisions/src/gateway/placement/least-busy.ts
+++ b/packages/decisions/src/gateway/placement/least-busy.ts
@@ -8,13 +8,16 @@
 import type { PlacedCandidate, PlacementPolicy } from './PlacementPolicy.js';
 
 interface LeastBusyOptions {
-  /** What another failure domain costs, in milliseconds; about a round trip. */
+  /**
+   * Cost of a replica in another failure domain, in milliseconds; about one
+   * round trip.
+   */
   readonly domainMs: number;
-  /** Spread of the random part that breaks ties, in milliseconds. */
+  /** Range of the random cost that breaks ties, in milliseconds. */
   readonly tieBreakMs: number;
 }
 
-/** Requests that wait at the replica until one more can start. */
+/** Requests beyond the replica's slots once one more is sent. */
 function queueLength(load: BackendLoad): number {
   return Math.max(0, load.totalInFlight + 1 - load.replica.slots);
 }
@@ -25,16 +28,16 @@
 ): PlacementPolicy {
   return ({ service }, candidates, isDeferred) => {
     const { answerMs } = learningOf(board, service.id);
-    const judge = (load: BackendLoad): PlacedCandidate => {
+    const evaluate = (load: BackendLoad): PlacedCandidate => {
       const slots = Math.max(1, load.replica.slots);
       const rounds = 1 + queueLength(load) / slots;
       const predictedMs = answerMs * load.slownessFor(ONE_QUEUE) * rounds;
-      const remote = load.replica.failureDomain !== board.failureDomain;
+      const isRemote = load.replica.failureDomain !== board.failureDomain;
       const busyMs = (answerMs * load.totalInFlight) / slots;
       const cost =
         predictedMs +
         busyMs +
-        (remote ? options.domainMs : 0) +
+        (isRemote ? options.domainMs : 0) +
         board.random() * options.tieBreakMs;
       return {
         load,
@@ -48,11 +51,11 @@
         cost,
       };
     };
-    return candidates.map(judge).sort((a, b) => a.cost - b.cost);
+    return candidates.map(evaluate).sort((a, b) => a.cost - b.cost);
   };
 }
 
-/** Places by requests in flight, speed and failure domain. */
+/** Places requests by requests in flight, speed and failure domain. */
 export const leastBusy = createPolicyUnit<
   LeastBusyOptions,
   PlacementPolicy,
--- a/packages/decisions/src/gateway/placement/serviceRank.ts
+++ b/packages/decisions/src/gateway/placement/serviceRank.ts
@@ -1,11 +1,14 @@
-/** Ranks that replicas know; 0 is served first. */
+/** Number of ranks that replicas distinguish; rank 0 is served first. */
 export const RANKS = 10;
 
-/** How pressing a request is among those of its priority. */
+/** Urgency of a request among those of the same priority. */
 export type Urgency = 'deferred' | 'new' | 'resumed';
 
-/** Place among those of one priority, by how many ranks it has. */
-const PLACES: readonly Readonly<Record<Urgency, number>>[] = [
+/**
+ * Rank offsets among requests of one priority, by the number of ranks that the
+ * priority has.
+ */
+const RANK_OFFSETS: readonly Readonly<Record<Urgency, number>>[] = [
   { resumed: 0, new: 0, deferred: 0 },
   { resumed: 0, new: 0, deferred: 0 },
   { resumed: 0, new: 0, deferred: 1 },
@@ -13,18 +16,19 @@
 ];
 
 /**
- * The rank at which a replica serves a request.
+ * Computes the rank at which a replica serves a request.
  *
- * In a burst a queue served first come, first served makes everybody late. What
- * is late anyway steps behind what can still be on time, among requests of the
- * same priority only: it never yields to a less urgent one. A stream that goes on
- * after its replica was lost comes first, since its caller waits for the next
- * event, not for the first. Ranks are dealt out evenly; with many priorities some
- * have no room for such differences, and beyond ten neighbours share a rank.
+ * In a burst, a queue that is served in order of arrival makes every request
+ * late. A request that is late anyway is therefore served after those of the
+ * same priority that can still be on time, but never after a less urgent one. A
+ * stream that is resumed after its replica was lost comes first, since its
+ * caller waits for the next event, not for the first. Ranks are distributed
+ * evenly over the priorities. With many priorities, some have too few ranks for
+ * these differences; with more than ten, neighbouring priorities share a rank.
  *
- * @param priority - of the request, 0 first
- * @param urgency - among those of its priority
- * @param priorities - how many the service's requests have
+ * @param priority - of the request; 0 is the most urgent
+ * @param urgency - of the request among those of its priority
+ * @param priorities - number of priorities of the service's requests
  * @returns a rank from 0 to 9
  */
 export function serviceRank(
@@ -32,9 +36,15 @@
   urgency: Urgency,
   priorities: number,
 ): number {
-  const startOf = (place: number): number =>
+  const firstRankOf = (place: number): number =>
     Math.floor((RANKS * place) / Math.max(1, priorities));
-  const first = startOf(priority);
-  const room = Math.min(PLACES.length - 1, startOf(priority + 1) - first);
-  return Math.min(RANKS - 1, first + (PLACES[room]?.[urgency] ?? 0));
+  const firstRank = firstRankOf(priority);
+  const rankCount = Math.min(
+    RANK_OFFSETS.length - 1,
+    firstRankOf(priority + 1) - firstRank,
+  );
+  return Math.min(
+    RANKS - 1,
+    firstRank + (RANK_OFFSETS[rankCount]?.[urgency] ?? 0),
+  );
 }
--- a/packages/decisions/src/gateway/placement/tolerance-split.ts
+++ b/packages/decisions/src/gateway/placement/tolerance-split.ts
@@ -9,33 +9,49 @@
 import { firstEventMs } from '../firstEventMs.js';
 import { pathsOf } from '../PromptMemory.js';
 import { requestRank } from '../requestRank.js';
-import type { Holder } from './cacheFetch.js';
-import { bestHolders, chooseFetch, homeOf } from './cacheFetch.js';
+import type { CacheHolder } from './cacheFetch.js';
+import { bestHolders, chooseFetch, homeReplica } from './cacheFetch.js';
 import type { SegmentOptions } from './groupSegments.js';
 import { createGroupSegments } from './groupSegments.js';
 import type { PlacedCandidate, PlacementPolicy } from './PlacementPolicy.js';
 
 interface ToleranceSplitOptions extends SegmentOptions {
-  /** What a replica of a more tolerant group costs, in milliseconds. */
+  /** Cost of a replica of another group, in milliseconds. */
   readonly mixingMs: number;
   /**
-   * What a replica with all slots taken costs, in milliseconds. The cost grows
-   * with the square of the share taken, since steps slow down and waiting starts.
+   * Cost of a replica with all slots taken, in milliseconds. The cost grows
+   * with the square of the occupied share, since steps slow down and requests
+   * begin to wait.
    */
   readonly crowdMs: number;
-  /** Weight of the time from first event to last against that to the first. */
+  /**
+   * Weight of the time from the first event to the last, relative to the time
+   * to the first.
+   */
   readonly streamWeight: number;
-  /** What another failure domain costs, in milliseconds; about a round trip. */
+  /**
+   * Cost of a replica in another failure domain, in milliseconds; about one
+   * round trip.
+   */
   readonly domainMs: number;
-  /** Weight of tokens that would be read again, against the time to read them. */
+  /**
+   * Weight of the time to read shared tokens again that the replica may not
+   * cache.
+   */
   readonly rereadWeight: number;
   /** Weight of the time to copy them from another replica instead. */
   readonly fetchWeight: number;
-  /** Chance that shared parts are kept where the hash puts them, though not by us. */
+  /**
+   * Probability that shared parts are cached at their home replica although
+   * this instance did not send them there.
+   */
   readonly homeChance: number;
 }
 
-/** Parts that other requests can share; the last of all is the request's own. */
+/**
+ * Prompt parts that other requests may share: all but the last, which is the
+ * request's own.
+ */
 function sharedParts({ prompt }: GatewayRequest): readonly PromptPart[] {
   return prompt?.parts.slice(0, -1) ?? [];
 }
@@ -44,18 +60,21 @@
   return parts.reduce((sum, { tokens }) => sum + tokens, 0);
 }
 
-/** What is the same for all replicas that a request may go to. */
-interface Prepared {
+/**
+ * Facts about a request that are the same for all replicas that it may go to.
+ */
+interface RequestContext {
   readonly promptTokens: number;
   readonly sharedTokens: number;
-  /** Pieces that the answer should have. */
+  /** Expected number of pieces of the answer. */
   readonly pieces: number;
+  /** Home replica of the last shared part; see {@link homeReplica}. */
   readonly home: BackendLoad | undefined;
-  /** Replicas that probably keep most of the shared parts, best first. */
-  readonly holders: readonly Holder[];
-  /** Prompt tokens that each replica keeps, as far as this instance knows. */
+  /** Replicas that probably cache most of the shared parts, best first. */
+  readonly holders: readonly CacheHolder[];
+  /** Prompt tokens that each replica caches, as far as this instance knows. */
   readonly cached: ReadonlyMap<BackendLoad, number>;
-  /** At which the request would be served. */
+  /** Rank at which a replica would serve the request. */
   readonly rank: number;
   readonly isDeferred: boolean;
 }
@@ -66,26 +85,31 @@
 ): PlacementPolicy {
   const segmentsFor = createGroupSegments(board, options);
 
-  const prepare = (
+  const createContext = (
     request: GatewayRequest,
     loads: readonly BackendLoad[],
     all: readonly BackendLoad[],
     isDeferred: boolean,
-  ): Prepared => {
+  ): RequestContext => {
     const { prompt, route, service } = request;
     const parts = prompt?.parts ?? [];
     const shared = sharedParts(request);
     const last = shared.at(-1);
-    const home = last && homeOf(last, loads);
+    const home = last && homeReplica(last, loads);
     const paths = pathsOf(parts);
     const sharedTokens = tokensOf(shared);
     const cached = new Map(
       all.map(load => [load, load.memory.cachedTokens(parts, paths)]),
     );
     const holders = [...cached].map(([load, known]) => {
-      const hoped = load === home ? options.homeChance * sharedTokens : 0;
-      const kept = Math.min(known, sharedTokens);
-      return { load, tokens: Math.max(hoped, kept), isKnown: kept >= hoped };
+      const likelyTokens =
+        load === home ? options.homeChance * sharedTokens : 0;
+      const knownTokens = Math.min(known, sharedTokens);
+      return {
+        load,
+        tokens: Math.max(likelyTokens, knownTokens),
+        isKnown: knownTokens >= likelyTokens,
+      };
     });
     const urgency = isDeferred ? 'deferred' : 'new';
     return {
@@ -100,51 +124,51 @@
     };
   };
 
-  const judge = (
+  const evaluate = (
     request: GatewayRequest,
     load: BackendLoad,
-    prepared: Prepared,
+    context: RequestContext,
   ): PlacedCandidate => {
-    const { promptTokens, sharedTokens, pieces, isDeferred } = prepared;
+    const { promptTokens, sharedTokens, pieces, isDeferred } = context;
     const { engine } = learningOf(board, request.service.id);
-    const isHome = load === prepared.home;
-    const cached = prepared.cached.get(load) ?? 0;
-    const hoped = isHome
+    const isHome = load === context.home;
+    const cached = context.cached.get(load) ?? 0;
+    const ownTokens = isHome
       ? Math.max(cached, options.homeChance * sharedTokens)
       : cached;
     const fetch = chooseFetch({
-      holders: prepared.holders,
+      holders: context.holders,
       target: load,
-      ownTokens: hoped,
+      ownTokens,
       tokensPerMs: engine.tokensPerMs,
       spec: request.service.engine,
     });
-    const fetched = fetch?.tokens ?? 0;
+    const fetchedTokens = fetch?.tokens ?? 0;
     const copyMs = fetch?.tookMs ?? 0;
-    const unreadTokens = Math.max(0, promptTokens - hoped - fetched);
-    const tokensBefore = load.unreadAhead(prepared.rank);
+    const unreadTokens = Math.max(0, promptTokens - ownTokens - fetchedTokens);
+    const tokensBefore = load.unreadAhead(context.rank);
     const tokensAhead = tokensBefore + unreadTokens;
     const { priority } = request;
     const eventMs = (tokens: number): number =>
       firstEventMs(engine, load, { priority, isDeferred, tokens });
     const predictedMs = copyMs + eventMs(tokensAhead);
     const ownReadMs = eventMs(tokensAhead) - eventMs(tokensBefore);
-    // What is only hoped for may have to be read after all.
-    const sure = fetch?.isKnown === true ? fetched : 0;
-    const missing = Math.max(0, sharedTokens - cached - sure);
+    // Tokens that are only likely to be cached may have to be read after all.
+    const certainTokens = fetch?.isKnown === true ? fetchedTokens : 0;
+    const uncertainTokens = Math.max(0, sharedTokens - cached - certainTokens);
     const rereadMs = isHome
       ? 0
-      : (missing / engine.tokensPerMs) * options.rereadWeight +
+      : (uncertainTokens / engine.tokensPerMs) * options.rereadWeight +
         copyMs * options.fetchWeight;
     const slots = request.service.engine?.slots ?? Infinity;
-    const taken = load.totalInFlight / slots;
+    const occupancy = load.totalInFlight / slots;
     const isRemote = load.replica.failureDomain !== board.failureDomain;
     const streamMs = pieces * load.paceMs;
     const cost =
       predictedMs +
       rereadMs +
       options.streamWeight * streamMs +
-      options.crowdMs * taken * taken +
+      options.crowdMs * occupancy * occupancy +
       (isRemote ? options.domainMs : 0);
     return {
       load,
@@ -163,24 +187,29 @@
     const ranked = [...candidates].sort((a, b) =>
       byHashed(a.hashedId, b.hashedId),
     );
-    // Groups are made of replicas that can serve them all the time. Whatever a limited
-    // one takes is welcome to all, but it comes and goes from one request to the next.
-    const free = ranked.filter(({ limitPerS }) => limitPerS === null);
-    const limited = ranked.filter(load => !free.includes(load));
-    const { own, others } = segmentsFor(request, free);
-    const settled = own.length > 0 ? own : ranked;
-    const base = own.length > 0 ? [...own, ...limited] : ranked;
-    const prepared = prepare(request, settled, ranked, isDeferred);
-    const placed = base.map(load => judge(request, load, prepared));
-    const mixed = (own.length > 0 ? others : []).map(load => {
-      const candidate = judge(request, load, prepared);
+    // Only replicas without a limit are divided into groups, because they can
+    // serve a group all the time. Requests of every group may use a replica
+    // with a limit, but whether it has room changes from one request to the
+    // next.
+    const unlimited = ranked.filter(({ limitPerS }) => limitPerS === null);
+    const limited = ranked.filter(load => !unlimited.includes(load));
+    const { own, others } = segmentsFor(request, unlimited);
+    const homeCandidates = own.length > 0 ? own : ranked;
+    const ownCandidates = own.length > 0 ? [...own, ...limited] : ranked;
+    const context = createContext(request, homeCandidates, ranked, isDeferred);
+    const placed = ownCandidates.map(load => evaluate(request, load, context));
+    const borrowed = (own.length > 0 ? others : []).map(load => {
+      const candidate = evaluate(request, load, context);
       return { ...candidate, cost: candidate.cost + options.mixingMs };
     });
-    return [...placed, ...mixed].sort((a, b) => a.cost - b.cost);
+    return [...placed, ...borrowed].sort((a, b) => a.cost - b.cost);
   };
 }
 
-/** Keeps delicate streams away from long prompts, then places by first event and cache. */
+/**
+ * Keeps delicate streams away from long prompts, then places requests by first
+ * event and cache.
+ */
 export const toleranceSplit = createPolicyUnit<
   ToleranceSplitOptions,
   PlacementPolicy,
--- a/packages/decisions/src/gateway/placement/toleranceGroups.ts
+++ b/packages/decisions/src/gateway/placement/toleranceGroups.ts
@@ -2,17 +2,23 @@
 
 import type { RoutingTable } from '../RoutingTable.js';
 
-/** Routes of one service that bear the same delay. */
+/** Routes of one service that tolerate about the same delay. */
 export interface ToleranceGroup {
-  /** Longest delay that their requests bear at any moment, in milliseconds. */
+  /**
+   * Longest delay that all of their requests tolerate at any moment, in
+   * milliseconds.
+   */
   readonly toleranceMs: number;
   readonly routes: readonly RouteId[];
 }
 
-/** Routes that differ by less than this factor belong together. */
-const SAME_FACTOR = 1.3;
+/** Routes whose tolerances differ by less than this factor form one group. */
+const SAME_GROUP_FACTOR = 1.3;
 
-/** The longest stop that a request of a route bears without being late. */
+/**
+ * Longest pause that a request of a route tolerates without being late, in
+ * milliseconds.
+ */
 function toleranceOf({ latencyTargetMs, gapTargetMs }: Route): number {
   return gapTargetMs > 0
     ? Math.min(gapTargetMs, latencyTargetMs)
@@ -24,7 +30,7 @@
   return ordered.reduce<readonly ToleranceGroup[]>((groups, route) => {
     const last = groups.at(-1);
     const toleranceMs = toleranceOf(route);
-    if (last && toleranceMs < last.toleranceMs * SAME_FACTOR) {
+    if (last && toleranceMs < last.toleranceMs * SAME_GROUP_FACTOR) {
       const joined = { ...last, routes: [...last.routes, route.id] };
       return [...groups.slice(0, -1), joined];
     }
@@ -32,25 +38,27 @@
   }, []);
 }
 
-const known = new WeakMap<
+const groupsByTable = new WeakMap<
   RoutingTable,
   Map<ServiceId, readonly ToleranceGroup[]>
 >();
 
 /**
- * Groups the routes of a service by the delay that they bear.
+ * Groups the routes of a service by the delay that they tolerate.
+ *
+ * The groups are computed once for each configuration.
  *
  * @param table - the configuration in force
- * @param service - of language models
- * @returns groups, the most delicate first; computed once for a configuration
+ * @param service - a service of language models
+ * @returns the groups, the most delicate first
  */
 export function toleranceGroups(
   table: RoutingTable,
   service: ServiceId,
 ): readonly ToleranceGroup[] {
   const byService =
-    known.get(table) ?? new Map<ServiceId, readonly ToleranceGroup[]>();
-  known.set(table, byService);
+    groupsByTable.get(table) ?? new Map<ServiceId, readonly ToleranceGroup[]>();
+  groupsByTable.set(table, byService);
   const cached = byService.get(service);
   if (cached) {
     return cached;
--- a/packages/decisions/tests/gateway/placement/cacheFetch.test.ts
+++ b/packages/decisions/tests/gateway/placement/cacheFetch.test.ts
@@ -18,7 +18,7 @@
 });
 const REPLICAS = ['s-1', 's-2', 's-3'].map(name => replica(name));
 const SHARED = { id: 'session', tokens: 6000 };
-/** Copying these takes a fifth of the time to read them. */
+/** Copying tokens at this rate takes a fifth of the time to read them. */
 const TRANSFER = { bytesPerToken: 131_072, megabitsPerS: 260_000 };
 
 function fixtureWith(transfer: typeof TRANSFER | null): GatewayFixture {
@@ -36,7 +36,10 @@
 
 let serial = 0;
 
-/** Sends drafts about one session until one goes to a second replica. */
+/**
+ * Sends twelve requests that share a part; returns the first attempt and the
+ * first one at another replica.
+ */
 function sendUntilMoved({ router, request }: GatewayFixture): {
   readonly first: GatewayAttempt | undefined;
   readonly moved: GatewayAttempt | undefined;
@@ -55,10 +58,10 @@
 }
 
 describe('copies of cached prompt parts', ({ it }) => {
-  // A burst of drafts about one session fills the replica that keeps its notes.
-  // Sent to the next replica, each would read them there once more, and
-  // everything that waits behind it would be late.
-  it('are taken from the replica that keeps them when another serves the request', t => {
+  // Guards against reading shared parts again: a burst of requests that share a
+  // part fills the replica that caches it. Another replica would have to read the
+  // part again, and requests that wait behind it would be late.
+  it('are made from the replica that caches them when another one serves the request', t => {
     const { first, moved } = sendUntilMoved(fixtureWith(TRANSFER));
     t.truthy(moved);
     t.is(first?.fetch, null);
@@ -67,12 +70,12 @@
     t.is(moved?.unreadTokens, 3000);
   });
 
-  it('are not asked of engines that can not copy', t => {
+  it('are not made by engines that can not copy', t => {
     const { moved } = sendUntilMoved(fixtureWith(null));
     t.is(moved?.fetch ?? null, null);
   });
 
-  it('are left out where reading is as quick', t => {
+  it('are not made where reading is as fast', t => {
     const slow = { ...TRANSFER, megabitsPerS: 1000 };
     const { moved } = sendUntilMoved(fixtureWith(slow));
     t.is(moved?.fetch ?? null, null);
--- a/packages/decisions/tests/gateway/placement/serviceRank.test.ts
+++ b/packages/decisions/tests/gateway/placement/serviceRank.test.ts
@@ -3,22 +3,22 @@
 import { serviceRank } from '../../../src/gateway/placement/serviceRank.js';
 
 describe('serviceRank', ({ it }) => {
-  it('puts what is late behind what can be on time, and streams that go on first', t => {
+  it('ranks resumed streams first, then new requests, then late ones', t => {
     t.true(serviceRank(1, 'resumed', 3) < serviceRank(1, 'new', 3));
     t.true(serviceRank(1, 'new', 3) < serviceRank(1, 'deferred', 3));
   });
 
-  it('never lets a less urgent request go first', t => {
+  it('never ranks a less urgent request first', t => {
     t.true(serviceRank(0, 'deferred', 3) < serviceRank(1, 'resumed', 3));
     t.true(serviceRank(1, 'deferred', 3) < serviceRank(2, 'resumed', 3));
   });
 
-  it('knows no rank beyond the last', t => {
+  it('gives priorities beyond the known ones the last rank', t => {
     t.is(serviceRank(40, 'new', 3), 9);
   });
 
-  // With four priorities the two least urgent shared the last rank, so that a
-  // replica served them in the order of arrival.
+  // Guards against the two least urgent of four priorities sharing the last rank,
+  // so that a replica serves them in order of arrival.
   it('keeps up to ten priorities apart', t => {
     Array.from({ length: 10 }, (_, index) => index + 1).forEach(count => {
       Array.from({ length: count - 1 }, (_, place) => place).forEach(place => {
@@ -29,7 +29,7 @@
     });
   });
 
-  it('never turns the order round, however many priorities there are', t => {
+  it('keeps the order of any number of priorities', t => {
     const ranks = Array.from({ length: 25 }, (_, place) =>
       serviceRank(place, 'new', 25),
     );
--- a/packages/decisions/tests/gateway/placement/splitReplicas.test.ts
+++ b/packages/decisions/tests/gateway/placement/splitReplicas.test.ts
@@ -7,18 +7,18 @@
 import { RoutingTable } from '../../../src/index.js';
 import { configuration, route, SERVICE } from '../helpers/gatewayFixture.js';
 
-const need = (replicas: number, least = 1) => ({ replicas, least });
+const need = (replicas: number, minReplicas = 1) => ({ replicas, minReplicas });
 
 describe('splitReplicas', ({ it }) => {
   it('gives each group what it needs and the last one the rest', t => {
     t.deepEqual(splitReplicas([need(2), need(1), need(9)], 8, 0.25), [2, 1, 5]);
   });
 
-  it('keeps a minimum for the last group and scales the others down', t => {
+  it('keeps the minimum of the last group and scales the others down', t => {
     t.deepEqual(splitReplicas([need(8), need(4), need(1)], 8, 0.25), [4, 2, 2]);
   });
 
-  it('always shares out all replicas, none twice', t => {
+  it('splits exactly the given number of replicas, whatever the needs', t => {
     [1, 2, 3, 5, 8, 42].forEach(count => {
       [0, 0.4, 3, 50].forEach(wanted => {
         const sizes = splitReplicas(
@@ -37,7 +37,7 @@
 });
 
 describe('toleranceGroups', ({ it }) => {
-  it('orders routes by the stop that they bear and joins like ones', t => {
+  it('orders routes by the delay that they tolerate and joins similar ones', t => {
     const routes = [
       ['long', 2000, 1000],
       ['live', 300, 250],
--- a/packages/decisions/tests/gateway/placement/tolerance-split.test.ts
+++ b/packages/decisions/tests/gateway/placement/tolerance-split.test.ts
@@ -43,9 +43,10 @@
   attempt?.load.replica.id;
 
 describe('tolerance-split', ({ it }) => {
-  it('never reads a long prompt where live streams run', t => {
-    // A chef's costing stops for a second: a long invoice is read at the same
-    // replica between its tokens. Both kinds arrive mixed, in a burst.
+  it('never places a long prompt on a replica that runs live streams', t => {
+    // Guards against live streams that pause for a second because a long prompt is
+    // read at the same replica between their tokens. Both kinds arrive mixed, in a
+    // burst.
     const fixture = gatewayFixture([LIVE, LONG], REPLICAS);
     const placed = Array.from({ length: 60 }, (_, index) => {
       fixture.clock.advance(20);
@@ -67,9 +68,10 @@
     });
   });
 
-  it('takes further replicas for live streams when more of them run', t => {
-    // In a burst of costings one replica held over sixty streams: its steps slowed
-    // down and new ones waited for a slot, while others were half empty.
+  it('uses more replicas for live streams when more of them run', t => {
+    // Guards against a burst of live streams that fills one replica with over 60 of
+    // them: its steps slow down and new streams wait for a slot, while other
+    // replicas are half empty.
     const fixture = gatewayFixture([LIVE, LONG], REPLICAS);
     const attempts = Array.from({ length: 120 }, () => {
       fixture.clock.advance(15);
@@ -86,9 +88,9 @@
     t.true(Math.max(...counts) < 50, counts.join(' '));
   });
 
-  it('counts the requests of instances that it cannot hear', t => {
-    // Instances are cut off from each other and all fill the same replica. Its
-    // answers tell how many requests it really has.
+  it('counts the requests of instances that it does not hear from', t => {
+    // Guards against instances that are cut off from each other and all fill the
+    // same replica. The replica's answers report how many requests it really has.
     const fixture = gatewayFixture([LIVE], REPLICAS.slice(0, 2));
     const first = send(fixture, LIVE, parts('l', 200, 600));
     t.truthy(first);
@@ -100,7 +102,7 @@
     }
   });
 
-  it('keeps requests that share a long part together while there is room', t => {
+  it('places requests that share a long part on one replica while it has room', t => {
     const fixture = gatewayFixture([LONG], REPLICAS);
     const servers = Array.from({ length: 4 }, () => {
       fixture.clock.advance(200);
