--- a/packages/decisions/src/limits/DemandLedger.ts
+++ b/packages/decisions/src/limits/DemandLedger.ts
@@ -2,38 +2,50 @@
 
 import { demandShare } from './demandShare.js';
 
-interface Reading {
+/** Demand that one instance last reported. */
+interface ReportedDemand {
   readonly demand: number;
   readonly atMs: number;
 }
 
-interface Account {
-  readonly openedAtMs: number;
-  readonly readings: Map<InstanceId, Reading>;
+/** Demand for one organisation, as reported by each instance. */
+interface OrganisationDemand {
+  readonly firstReportAtMs: number;
+  readonly byReporter: Map<InstanceId, ReportedDemand>;
 }
 
-/** Reports count for this long; a reporter that is gone stops counting then. */
-const READING_MS = 10_000;
-/** A new owner waits for every reporter before it gives shares. */
+/**
+ * Time for which a reported demand counts; a reporter that is gone stops
+ * counting after it.
+ */
+const REPORT_TTL_MS = 10_000;
+/**
+ * Time for which a new owner collects reports from all instances before it
+ * gives shares.
+ */
 const SETTLE_MS = 3000;
 
-/** Demand that instances reported to the owner of some organisations. */
+/**
+ * Records the demand that instances report to the owner of an organisation's
+ * limit.
+ */
 export class DemandLedger {
-  readonly #accounts = new Map<OrganisationId, Account>();
+  readonly #demands = new Map<OrganisationId, OrganisationDemand>();
 
   /**
-   * Takes a report and works out the reporter's share.
+   * Records a report and computes the reporter's share.
    *
-   * Guards against a change of owner: an owner that has just begun knows only
-   * the first reporters and would give each of them nearly the whole limit. Until
-   * its account is old enough it gives nothing, and reporters keep what they have.
+   * Guards against a change of owner: a new owner knows only the first
+   * reporters and would give each of them nearly the whole limit. It gives no
+   * share until it has collected reports for long enough, and reporters keep
+   * the share that they have.
    *
-   * @param organisation - whose limit it is
+   * @param organisation - the organisation with the limit
    * @param reporter - the instance that reports
-   * @param demand - requests a second offered there
-   * @param instances - live instances in the fleet
+   * @param demand - requests a second that were offered at the reporter
+   * @param instances - number of live instances in the fleet
    * @param nowMs - present time
-   * @returns the share, or null while it is not known well enough
+   * @returns the share, or null while too few reports may be known
    */
   report(
     organisation: OrganisationId,
@@ -42,44 +54,47 @@
     instances: number,
     nowMs: number,
   ): number | null {
-    const account = this.#accountOf(organisation, nowMs);
-    account.readings.set(reporter, { demand, atMs: nowMs });
-    this.#forgetOld(account, nowMs);
-    if (nowMs - account.openedAtMs < SETTLE_MS) {
+    const collected = this.#demandOf(organisation, nowMs);
+    collected.byReporter.set(reporter, { demand, atMs: nowMs });
+    this.#dropExpired(collected, nowMs);
+    if (nowMs - collected.firstReportAtMs < SETTLE_MS) {
       return null;
     }
-    const others = [...account.readings]
+    const others = [...collected.byReporter]
       .filter(([id]) => id !== reporter)
-      .map(([, reading]) => reading.demand);
-    const silent = Math.max(0, instances - 1 - others.length);
-    const none = Array.from({ length: silent }, () => 0);
-    return demandShare(demand, [...others, ...none]);
+      .map(([, report]) => report.demand);
+    const unheard = Math.max(0, instances - 1 - others.length);
+    const zeros = Array.from({ length: unheard }, () => 0);
+    return demandShare(demand, [...others, ...zeros]);
   }
 
-  /** Drops accounts that nobody reports to any more. */
+  /** Drops organisations for which no instance reports demand any more. */
   forget(nowMs: number): void {
-    this.#accounts.forEach((account, organisation) => {
-      this.#forgetOld(account, nowMs);
-      if (account.readings.size === 0) {
-        this.#accounts.delete(organisation);
+    this.#demands.forEach((collected, organisation) => {
+      this.#dropExpired(collected, nowMs);
+      if (collected.byReporter.size === 0) {
+        this.#demands.delete(organisation);
       }
     });
   }
 
-  #accountOf(organisation: OrganisationId, nowMs: number): Account {
-    const known = this.#accounts.get(organisation);
+  #demandOf(organisation: OrganisationId, nowMs: number): OrganisationDemand {
+    const known = this.#demands.get(organisation);
     if (known) {
       return known;
     }
-    const account: Account = { openedAtMs: nowMs, readings: new Map() };
-    this.#accounts.set(organisation, account);
-    return account;
+    const collected: OrganisationDemand = {
+      firstReportAtMs: nowMs,
+      byReporter: new Map(),
+    };
+    this.#demands.set(organisation, collected);
+    return collected;
   }
 
-  #forgetOld(account: Account, nowMs: number): void {
-    account.readings.forEach(({ atMs }, id) => {
-      if (nowMs - atMs > READING_MS) {
-        account.readings.delete(id);
+  #dropExpired(collected: OrganisationDemand, nowMs: number): void {
+    collected.byReporter.forEach(({ atMs }, id) => {
+      if (nowMs - atMs > REPORT_TTL_MS) {
+        collected.byReporter.delete(id);
       }
     });
   }
--- a/packages/decisions/src/limits/OrganisationLimits.ts
+++ b/packages/decisions/src/limits/OrganisationLimits.ts
@@ -5,10 +5,13 @@
 
 interface Entry {
   organisation: Organisation;
-  /** Share that the owner gave, and how long it holds. */
+  /** Share of the limit that this instance may use. */
   share: number;
+  /** Time at which the owner's grant of that share ends. */
   leaseEndsMs: number;
+  /** Smoothed demand, in requests per measurement period. */
   demand: number;
+  /** Requests offered in the current measurement period. */
   offered: number;
   readonly requests: TokenBucket;
   readonly tokens: TokenBucket;
@@ -21,23 +24,28 @@
 }
 
 const DEMAND_SMOOTHING = 0.5;
-/** Part of the even share in use from which a demand is worth reporting. */
-const HOT_PART = 0.5;
-/** A share holds this long without a word from the owner. */
+/**
+ * Demand, as a part of the even share, from which it is reported to the owner.
+ */
+const REPORT_THRESHOLD = 0.5;
+/** Time for which a share is valid unless the owner renews it. */
 const SHARE_LEASE_MS = 10_000;
 
 /**
- * Enforces the limits of organisations on this instance's share of them.
+ * Enforces an instance's share of the limits of organisations.
  *
- * Without a lease the share is an even part of the limit. An organisation that
- * uses a good part of it is reported to its owner, which answers with a share by
- * demand. No write to the platform is needed. See docs/design/limits.md.
+ * Without a lease, the share is an even part of the limit. If an organisation
+ * uses much of it, its demand is reported to the limit's owner, which answers
+ * with a share in proportion to demand. This needs no writes to the platform.
+ * See docs/design/limits.md.
  */
 export class OrganisationLimits {
   readonly #entries = new Map<OrganisationId, Entry>();
   #instances = 1;
 
-  /** Takes over declared limits; entries of removed organisations are dropped. */
+  /**
+   * Applies the declared limits and drops the entries of removed organisations.
+   */
   configure(organisations: readonly Organisation[], nowMs: number): void {
     const declared = new Set(organisations.map(({ id }) => id));
     [...this.#entries.keys()]
@@ -55,12 +63,13 @@
   }
 
   /**
-   * Charges a request.
+   * Charges a request to its organisation's limits.
    *
    * @param id - organisation of the request
    * @param expectedTokens - estimate that `settle` corrects later
    * @param nowMs - present time
-   * @returns 0 when within the limits, else milliseconds until a retry is useful
+   * @returns 0 if the request is within the limits, else milliseconds until a
+   *   retry is useful
    */
   charge(id: OrganisationId, expectedTokens: number, nowMs: number): number {
     const entry = this.#entries.get(id);
@@ -79,34 +88,46 @@
     return waitMs;
   }
 
-  /** Corrects an earlier charge by the difference to the true length. */
+  /**
+   * Corrects an earlier charge by the difference to the actual number of
+   * tokens.
+   */
   settle(id: OrganisationId, difference: number): void {
     this.#entries.get(id)?.tokens.take(difference);
   }
 
   /**
-   * Closes a second of demand measurement.
+   * Ends a one-second period of demand measurement.
    *
-   * @param instances - live instances, this one included
+   * @param instances - number of live instances, this one included
    * @param nowMs - present time
-   * @returns organisations whose owner should hear of them, the hottest first
+   * @returns demands to report to their owners, the highest in relation to the
+   *   limit first
    */
   closePeriod(instances: number, nowMs: number): readonly Demand[] {
     this.#instances = instances;
-    const hot: { readonly demand: Demand; readonly use: number }[] = [];
+    const reportable: {
+      readonly demand: Demand;
+      readonly utilisation: number;
+    }[] = [];
     this.#entries.forEach((entry, organisation) => {
       entry.demand = smooth(entry.demand, entry.offered, DEMAND_SMOOTHING);
       entry.offered = 0;
-      this.#endLease(entry, nowMs);
-      const use = this.#useOf(entry);
-      if (use >= HOT_PART) {
-        hot.push({ demand: { organisation, requests: entry.demand }, use });
+      this.#expireLease(entry, nowMs);
+      const utilisation = this.#utilisationOf(entry);
+      if (utilisation >= REPORT_THRESHOLD) {
+        reportable.push({
+          demand: { organisation, requests: entry.demand },
+          utilisation,
+        });
       }
     });
-    return hot.sort((a, b) => b.use - a.use).map(({ demand }) => demand);
+    return reportable
+      .sort((a, b) => b.utilisation - a.utilisation)
+      .map(({ demand }) => demand);
   }
 
-  /** Takes over a share that the owner gave, as a lease. */
+  /** Applies a share that the owner granted as a lease. */
   grant(id: OrganisationId, share: number, nowMs: number): void {
     const entry = this.#entries.get(id);
     if (entry) {
@@ -116,13 +137,16 @@
     }
   }
 
-  /** Demand over the even share; above the even part of a lease it stays hot. */
-  #useOf({ demand, organisation }: Entry): number {
+  /**
+   * Demand in relation to the even share; a larger leased share doesn't lower
+   * it.
+   */
+  #utilisationOf({ demand, organisation }: Entry): number {
     const even = organisation.limits.requestsPerSecond / this.#instances;
     return demand / even;
   }
 
-  #endLease(entry: Entry, nowMs: number): void {
+  #expireLease(entry: Entry, nowMs: number): void {
     const even = 1 / this.#instances;
     if (entry.leaseEndsMs <= nowMs && entry.share !== even) {
       entry.share = even;
--- a/packages/decisions/src/limits/OwnerRing.ts
+++ b/packages/decisions/src/limits/OwnerRing.ts
@@ -1,29 +1,32 @@
 import murmurhash from 'murmurhash';
 import type { InstanceId, OrganisationId } from '@jujubecroft/types';
 
-interface Place {
+interface RingPoint {
   readonly position: number;
   readonly instance: InstanceId;
 }
 
-/** Places of one instance on the ring; more spread the work more evenly. */
-const PLACES = 16;
+/**
+ * Points of each instance on the ring; more of them spread organisations more
+ * evenly.
+ */
+const VIRTUAL_NODES = 16;
 
 /**
- * Says which instance works out the shares of an organisation's limits.
+ * Determines which instance computes the shares of an organisation's limits.
  *
- * Consistent hashing: instances that agree on the fleet agree on the owner, and
- * a join or leave moves only the organisations of that instance. Disagreement
- * is harmless for a while, since shares are leases.
+ * It uses consistent hashing: instances that agree on the fleet agree on the
+ * owner, and an instance that joins or leaves moves only its own organisations.
+ * Disagreement does no harm for a while, since shares are leases.
  */
 export class OwnerRing {
-  readonly #places: readonly Place[];
+  readonly #points: readonly RingPoint[];
 
   /** @param instances - live instances */
   constructor(instances: readonly InstanceId[]) {
-    this.#places = instances
+    this.#points = instances
       .flatMap(instance =>
-        Array.from({ length: PLACES }, (_, index) => ({
+        Array.from({ length: VIRTUAL_NODES }, (_, index) => ({
           position: murmurhash.v3(`${instance}/${index}`),
           instance,
         })),
@@ -36,21 +39,22 @@
   /**
    * Finds the owner of an organisation.
    *
-   * @param organisation - the organisation
-   * @returns the instance at or behind its place on the ring
+   * @param organisation - id of the organisation
+   * @returns the instance of the first point at or after the organisation's
+   *   hash; undefined if there are no instances
    */
   ownerOf(organisation: OrganisationId): InstanceId | undefined {
     const wanted = murmurhash.v3(organisation);
     let low = 0;
-    let high = this.#places.length;
+    let high = this.#points.length;
     while (low < high) {
       const middle = (low + high) >>> 1;
-      if ((this.#places[middle]?.position ?? Infinity) < wanted) {
+      if ((this.#points[middle]?.position ?? Infinity) < wanted) {
         low = middle + 1;
       } else {
         high = middle;
       }
     }
-    return (this.#places[low] ?? this.#places[0])?.instance;
+    return (this.#points[low] ?? this.#points[0])?.instance;
   }
 }
--- a/packages/decisions/src/limits/TokenBucket.ts
+++ b/packages/decisions/src/limits/TokenBucket.ts
@@ -1,58 +1,67 @@
 const MS_PER_SECOND = 1000;
 
-/** How much a bucket may save up, and whether it begins with that. */
+/** How many tokens a bucket may save up, and whether it starts full. */
 export interface BurstRule {
-  /** Tokens that a bucket with a refill rate holds, at most. */
+  /** Largest number of tokens in a bucket with the given refill rate. */
   readonly capacity: (perSecond: number) => number;
   readonly startsFull: boolean;
 }
 
-/** What two seconds bring, from the beginning. */
-const TWO_SECONDS: BurstRule = {
+/** Allows a burst of two seconds' refill; the bucket starts full. */
+const TWO_SECOND_BURST: BurstRule = {
   capacity: perSecond => 2 * perSecond,
   startsFull: true,
 };
 
-/** Rate limiter that may go into debt when work turns out longer than expected. */
+/**
+ * Token bucket that may go into debt when a request turns out larger than
+ * expected.
+ */
 export class TokenBucket {
   #level: number;
   #updatedAtMs: number;
   #perSecond: number;
 
   /**
-   * @param perSecond - refill rate
+   * @param perSecond - refill rate, in tokens a second
    * @param nowMs - present time
-   * @param burst - how much it may save up
+   * @param burst - how many tokens it may save up
    */
   constructor(
     perSecond: number,
     nowMs: number,
-    private readonly burst: BurstRule = TWO_SECONDS,
+    private readonly burst: BurstRule = TWO_SECOND_BURST,
   ) {
     this.#perSecond = perSecond;
     this.#level = burst.startsFull ? burst.capacity(perSecond) : 0;
     this.#updatedAtMs = nowMs;
   }
 
-  /** Changes the refill rate; the level is cut to the new burst size. */
+  /** Changes the refill rate and cuts the level to the new capacity. */
   setRate(perSecond: number, nowMs: number): void {
     this.#refill(nowMs);
     this.#perSecond = perSecond;
     this.#level = Math.min(this.#level, this.burst.capacity(perSecond));
   }
 
-  /** Tokens that are there; negative in debt. */
+  /** Number of tokens in the bucket; negative in debt. */
   level(nowMs: number): number {
     this.#refill(nowMs);
     return this.#level;
   }
 
-  /** @returns milliseconds until the bucket is out of debt; 0 when it is */
+  /**
+   * Time until the bucket is out of debt, in milliseconds; 0 if it has tokens.
+   */
   waitMs(nowMs: number): number {
     return this.level(nowMs) > 0 ? 0 : this.timeToMs(1, nowMs);
   }
 
-  /** @returns milliseconds until so many tokens are there; infinity for never */
+  /**
+   * Time until the bucket holds a number of tokens, in milliseconds.
+   *
+   * @returns Infinity if the refill rate is 0
+   */
   timeToMs(tokens: number, nowMs: number): number {
     const missing = tokens - this.level(nowMs);
     if (missing <= 0) {
@@ -63,12 +72,12 @@
       : (missing / this.#perSecond) * MS_PER_SECOND;
   }
 
-  /** Takes an amount, into debt if need be; a negative amount gives back. */
+  /** Takes tokens, into debt if necessary; a negative amount returns tokens. */
   take(amount: number): void {
     this.#level -= amount;
   }
 
-  /** Drops what was saved up. */
+  /** Drops the saved tokens; a debt remains. */
   empty(): void {
     this.#level = Math.min(0, this.#level);
   }
--- a/packages/decisions/src/limits/demandShare.ts
+++ b/packages/decisions/src/limits/demandShare.ts
@@ -1,13 +1,16 @@
-/** Part of a limit that is split evenly, so that a new caller finds room everywhere. */
-const EVEN_PART = 0.2;
+/**
+ * Part of a limit that is split evenly, so that a new caller finds room at
+ * every instance.
+ */
+const EVEN_SHARE = 0.2;
 
 /**
- * Share of one organisation's limit that this instance may use.
+ * Computes the share of one organisation's limit that this instance may use.
  *
- * @param ownDemand - requests that the organisation offered here lately
- * @param peerDemands - the same figure from each live peer, 0 where unknown
- * @returns a share between 0 and 1; the shares of all instances add up to 1
- *   when all hold the same figures
+ * @param ownDemand - recent demand of the organisation at this instance
+ * @param peerDemands - the same figure for each live peer; 0 if unknown
+ * @returns a share between 0 and 1; the shares of all instances add up to 1 if
+ *   all use the same figures
  */
 export function demandShare(
   ownDemand: number,
@@ -18,5 +21,5 @@
   if (total === 0) {
     return 1 / instances;
   }
-  return EVEN_PART / instances + ((1 - EVEN_PART) * ownDemand) / total;
+  return EVEN_SHARE / instances + ((1 - EVEN_SHARE) * ownDemand) / total;
 }
--- a/packages/decisions/src/policies/admission/predictive.ts
+++ b/packages/decisions/src/policies/admission/predictive.ts
@@ -11,16 +11,23 @@
 import type { AdmissionPolicy } from './AdmissionPolicy.js';
 
 interface PredictiveOptions {
-  /** Share of the first-token target that prediction may use up. */
+  /**
+   * Share of the first-token target that the predicted wait and first token may
+   * use up.
+   */
   readonly margin: number;
-  /** Time between tokens assumed before anything was observed, in milliseconds. */
+  /**
+   * Time between tokens that is assumed before any was observed, in
+   * milliseconds.
+   */
   readonly priorBetweenTokensMs: number;
-  /** Shortest retry-after that is told to a caller, in milliseconds. */
+  /** Shortest retry-after that a caller is given, in milliseconds. */
   readonly minRetryAfterMs: number;
+  /** Longest retry-after that a caller is given, in milliseconds. */
   readonly maxRetryAfterMs: number;
 }
 
-/** Tokens per millisecond that this instance may draw from the pool. */
+/** Tokens per millisecond that this instance may use of the pool. */
 function tokenRate(
   views: readonly BackendView[],
   nowMs: number,
@@ -34,7 +41,7 @@
     );
 }
 
-/** Work of the same tier that is served before a new request. */
+/** Queued tokens of the same tier that are served before a new request. */
 function tokensAhead(queue: RequestQueue, record: RequestRecord): number {
   const { rules, request, weight, expectedTokens } = record;
   return queue.classes
@@ -49,26 +56,32 @@
     );
 }
 
-/** What higher tiers leave of the rate, but never less than the guaranteed share. */
+/** Token rate that higher tiers leave, but at least the guaranteed share. */
 function rateLeft(total: number, above: number, record: RequestRecord): number {
   const guaranteed = total * record.rules.guaranteedShare;
   return Math.max(guaranteed, total - above);
 }
 
+/**
+ * Mean time to the first token at servers that are not stragglers; 0 if
+ * unknown.
+ */
 function expectedFirstTokenMs(views: readonly BackendView[]): number {
   const known = views.filter(view => view.firstTokenMs > 0 && !view.straggler);
   const sum = known.reduce((total, view) => total + view.firstTokenMs, 0);
   return known.length === 0 ? 0 : sum / known.length;
 }
 
+/** Longest predicted wait at which a request is admitted, in milliseconds. */
 function budgetMs(
   record: RequestRecord,
   firstTokenMs: number,
   margin: number,
 ): number {
   const { rules } = record;
-  // A request of the highest tier waits for its whole bound: late is better
-  // than shed. Lower tiers are told at once when the target is out of reach.
+  // A request of the highest tier may wait up to its queue limit, because late
+  // is better than shed. Requests of lower tiers are shed at once if their
+  // target is out of reach.
   if (rules.tier === HIGHEST_TIER) {
     return rules.maxQueueMs;
   }
@@ -108,7 +121,7 @@
   };
 }
 
-/** Sheds at arrival what cannot meet its target any more. */
+/** Sheds requests at arrival that can't meet their target any more. */
 export const predictive = createPolicyUnit<PredictiveOptions, AdmissionPolicy>({
   name: 'predictive',
   description:
--- a/packages/decisions/src/policies/catalogue.ts
+++ b/packages/decisions/src/policies/catalogue.ts
@@ -15,7 +15,7 @@
 import { leastOutstanding } from './routing/least-outstanding.js';
 import { roundRobin } from './routing/round-robin.js';
 
-/** What the catalogue tells of a policy, whatever its kind. */
+/** What the catalogue states of a policy of any kind. */
 export type CatalogueEntry = Omit<PolicyMeta<object>, 'schema'>;
 
 /** Every policy; docs/policies/ has a page for each. */
--- a/packages/decisions/src/policies/concurrency/adaptive-limit.ts
+++ b/packages/decisions/src/policies/concurrency/adaptive-limit.ts
@@ -9,34 +9,38 @@
 import type { ConcurrencyPolicy } from './ConcurrencyPolicy.js';
 
 interface AdaptiveLimitOptions {
+  /** Shortest time between two changes of a limit, in milliseconds. */
   readonly adaptEveryMs: number;
+  /** Latency samples that a change of a limit needs. */
   readonly minSamples: number;
-  /** Observed latency over target above which the limit is lowered. */
+  /** Ratio of observed latency to target above which the limit is lowered. */
   readonly highPressure: number;
-  /** Observed latency over target below which the limit may grow. */
+  /** Ratio of observed latency to target below which the limit may grow. */
   readonly lowPressure: number;
+  /** Factor by which a limit is lowered. */
   readonly decrease: number;
+  /** Amount by which a limit grows. */
   readonly increase: number;
   readonly minLimit: number;
-  /** How far the highest tier may go over a limit. */
+  /** Factor by which the highest tier may exceed a limit. */
   readonly highestTierShare: number;
-  /** Standard deviations of higher tiers' demand that are kept free. */
+  /** Standard deviations of the higher tiers' demand that are kept free. */
   readonly reserveDeviations: number;
 }
 
 /** Share of the first-token target that the backend server itself may use. */
 const FIRST_TOKEN_SHARE = 0.6;
 
-/** Share of the limit in use from which the limit counts as binding. */
+/** Utilisation of the limit above which the limit counts as binding. */
 const BINDING_SHARE = 0.85;
-/** Requests that a tier may always have in flight in a pool. */
-const MIN_ROOM = 1;
+/** Requests that each tier may always have in flight in a pool. */
+const MIN_TIER_SLOTS = 1;
 
 /**
- * Slots that a stream of tokens keeps busy, by Little's law, plus a margin for
- * its fluctuation.
+ * Slots that a given token rate keeps busy, by Little's law, plus a margin for
+ * fluctuation.
  */
-function slotsFor(
+function slotsNeeded(
   tokensPerMs: number,
   views: readonly BackendView[],
   deviations: number,
@@ -50,7 +54,10 @@
   return busy + deviations * Math.sqrt(busy);
 }
 
-/** The worse of both latencies over their targets. */
+/**
+ * The higher of the two ratios of latency to target: between tokens, and to the
+ * first token.
+ */
 function pressureOf(view: BackendView): number {
   const between = view.betweenTokensMs / view.tightestBetweenTokensMs;
   const first =
@@ -82,10 +89,10 @@
       if (offered === 0) {
         return true;
       }
-      const reserved = slotsFor(offered, views, options.reserveDeviations);
+      const reserved = slotsNeeded(offered, views, options.reserveDeviations);
       const total = views.reduce((sum, view) => sum + view.limit, 0);
-      const room = Math.max(MIN_ROOM, total - reserved);
-      return load.inFlightFrom(tier) < room;
+      const available = Math.max(MIN_TIER_SLOTS, total - reserved);
+      return load.inFlightFrom(tier) < available;
     },
     adapt: view => {
       if (!isDue(view)) {
@@ -98,7 +105,7 @@
         view.limit = Math.max(options.minLimit, view.limit * options.decrease);
         return;
       }
-      // Growth needs evidence that the limit, not the demand, was binding.
+      // A limit grows only if it was binding, rather than demand being low.
       const binding = view.inFlight >= view.limit * BINDING_SHARE - 1;
       if (pressure < options.lowPressure && binding) {
         view.limit += options.increase;
@@ -107,7 +114,10 @@
   };
 }
 
-/** Additive increase and multiplicative decrease against the latency targets. */
+/**
+ * Adapts limits by additive increase and multiplicative decrease against the
+ * latency targets.
+ */
 export const adaptiveLimit = createPolicyUnit<
   AdaptiveLimitOptions,
   ConcurrencyPolicy
--- a/packages/decisions/src/policies/createPolicyUnit.ts
+++ b/packages/decisions/src/policies/createPolicyUnit.ts
@@ -3,7 +3,7 @@
 import type { Blackboard } from '../blackboard/Blackboard.js';
 import type { PolicyUnit } from './PolicyUnit.js';
 
-/** The parts from which a policy unit is made. */
+/** The parts from which a policy unit is created. */
 export interface PolicyParts<Options, Policy, Board> {
   readonly name: string;
   readonly description: string;
@@ -12,7 +12,7 @@
 }
 
 /**
- * Makes a policy unit whose factory checks its options first.
+ * Creates a policy unit whose factory validates its options first.
  *
  * @param parts - name, description, option schema and factory
  * @returns the unit for the catalogue
--- a/packages/decisions/src/policies/ordering/tiered-fair.ts
+++ b/packages/decisions/src/policies/ordering/tiered-fair.ts
@@ -4,19 +4,29 @@
 import type { OrderingPolicy } from '../../blackboard/RequestQueue.js';
 import { createPolicyUnit } from '../createPolicyUnit.js';
 
+/**
+ * Time by which the first token of the queue's head is due; Infinity if it is
+ * empty.
+ */
 function deadlineMs(queue: ClassQueue): number {
   const head = queue.peek();
   return head ? head.arrivedAtMs + queue.rules.firstTokenTargetMs : Infinity;
 }
 
-/** Lower tier number first; within a tier the earliest first-token deadline. */
+/**
+ * Lower tier number first; within a tier the earliest first-token deadline
+ * first.
+ */
 function precedes(a: ClassQueue, b: ClassQueue): boolean {
   return a.rules.tier === b.rules.tier
     ? deadlineMs(a) < deadlineMs(b)
     : a.rules.tier < b.rules.tier;
 }
 
-/** Credit that covers the next request means that the class is owed service. */
+/**
+ * Whether a class has enough credit from its guaranteed share for its next
+ * request.
+ */
 function isOwed(queue: ClassQueue): boolean {
   const head = queue.peek();
   return head !== undefined && queue.credit >= head.expectedTokens;
@@ -32,7 +42,7 @@
   );
 }
 
-/** Serves by tier, then deadline, with a guaranteed share for each class. */
+/** Serves by tier, then by deadline, with a guaranteed share for each class. */
 export const tieredFair = createPolicyUnit<object, OrderingPolicy>({
   name: 'tiered-fair',
   description:
--- a/packages/decisions/src/policies/recovery/RecoveryPolicy.ts
+++ b/packages/decisions/src/policies/recovery/RecoveryPolicy.ts
@@ -2,15 +2,16 @@
 
 import type { RequestRecord } from '../../blackboard/RoutedRequest.js';
 
-/** How an attempt failed, as far as it is certain. */
+/** How an attempt failed, as far as it is known. */
 export interface AttemptFailure {
   readonly ran: Ran;
   readonly reason: 'broken' | 'refused' | 'silent';
 }
 
-/** What becomes of a request whose attempt failed. */
+/** What to do with a request whose attempt failed. */
 export type RecoveryVerdict = 'fail' | 'resume' | 'retry';
 
+/** Decides what to do with a request whose attempt failed. */
 export type RecoveryPolicy = (
   record: RequestRecord,
   failure: AttemptFailure,
--- a/packages/decisions/src/policies/recovery/budgeted-resume.ts
+++ b/packages/decisions/src/policies/recovery/budgeted-resume.ts
@@ -6,22 +6,26 @@
 import type { AttemptFailure, RecoveryPolicy } from './RecoveryPolicy.js';
 
 interface BudgetedResumeOptions {
-  /** Attempts that may have run, after which the request ends. */
+  /** Number of attempts that may have run after which the request ends. */
   readonly maxAttempts: number;
-  /** Attempts in all, those included that certainly did not run. */
+  /** Number of attempts in all, including those that certainly did not run. */
   readonly maxTries: number;
 }
 
 /**
- * Guards against running a non-idempotent request twice: after bytes went out
- * only the backend server knows whether it ran, so it is sent again only when
- * the failure proves that it did not.
+ * Guards against running a non-idempotent request twice. Once bytes were sent,
+ * only the backend server knows whether the request ran, so it is sent again
+ * only if the failure proves that it did not.
  */
 function mayRunAgain(record: RequestRecord, failure: AttemptFailure): boolean {
   return failure.ran === 'no' || record.request.idempotent;
 }
 
-function takeCredit(board: Blackboard, record: RequestRecord): boolean {
+/**
+ * Takes one retry from the budget of the request's class; false if there is
+ * none.
+ */
+function spendRetryCredit(board: Blackboard, record: RequestRecord): boolean {
   const credit = board.retryCredits.get(record.rules.id) ?? 0;
   if (credit < 1) {
     return false;
@@ -31,9 +35,12 @@
 }
 
 /**
- * A refused connection costs no engine anything, and its server is avoided from
- * then on, so it draws on neither budget nor attempts. Otherwise a request would
- * fail beside healthy servers because the first few it met were down.
+ * Whether limits and budget allow another attempt.
+ *
+ * A refused connection costs an engine nothing, and its server is avoided from
+ * then on, so it counts neither against the budget nor as a costly attempt.
+ * Otherwise a request would fail although there are healthy servers, because
+ * the first few it tried were down.
  */
 function isWithinBudget(
   board: Blackboard,
@@ -49,11 +56,12 @@
   }
   record.costlyAttempts += 1;
   return (
-    record.costlyAttempts < options.maxAttempts && takeCredit(board, record)
+    record.costlyAttempts < options.maxAttempts &&
+    spendRetryCredit(board, record)
   );
 }
 
-/** Resumes or retries within a budget per class. */
+/** Resumes or retries requests within a retry budget per class. */
 export const budgetedResume = createPolicyUnit<
   BudgetedResumeOptions,
   RecoveryPolicy
--- a/packages/decisions/src/policies/recovery/give-up.ts
+++ b/packages/decisions/src/policies/recovery/give-up.ts
@@ -3,7 +3,7 @@
 import { createPolicyUnit } from '../createPolicyUnit.js';
 import type { RecoveryPolicy } from './RecoveryPolicy.js';
 
-/** Baseline that tells the caller of every failure. */
+/** Baseline that passes every failure on to the caller. */
 export const giveUp = createPolicyUnit<object, RecoveryPolicy>({
   name: 'give-up',
   description: 'Ends a request at its first failed attempt; a baseline.',
--- a/packages/decisions/src/policies/routing/RoutingPolicy.ts
+++ b/packages/decisions/src/policies/routing/RoutingPolicy.ts
@@ -3,14 +3,20 @@
 import type { BackendView } from '../../blackboard/BackendView.js';
 import type { RequestRecord } from '../../blackboard/RoutedRequest.js';
 
-/** The chosen server, if any, with the means to explain the choice. */
+/** The chosen server, if any, and the means to explain the choice. */
 export interface RoutingChoice {
   readonly view: BackendView | undefined;
-  /** How every candidate was judged; costs time, so only for watchers. */
+  /**
+   * How every candidate was evaluated; costly, so called only while somebody
+   * watches decisions.
+   */
   readonly candidates: () => readonly CandidateView[];
 }
 
-/** Says how many own requests may be on a server for a given request. */
+/**
+ * Number of this instance's requests that may be on a server, for a given
+ * request.
+ */
 export type SlotLimit = (view: BackendView, record: RequestRecord) => number;
 
 /** Chooses a backend server for one request. */
--- a/packages/decisions/src/policies/routing/isFit.ts
+++ b/packages/decisions/src/policies/routing/isFit.ts
@@ -2,12 +2,13 @@
 import type { RequestRecord } from '../../blackboard/RoutedRequest.js';
 
 /**
- * Whether a server may get this request at all, whatever its load.
+ * Whether a server may get a request at all, whatever its load.
  *
  * @param view - the server
  * @param record - the request
  * @param nowMs - present time
- * @returns false for leaving and avoided servers and those the request failed on
+ * @returns false for servers that are leaving or avoided and for those on which
+ *   the request failed
  */
 export function isFit(
   view: BackendView,
--- a/packages/decisions/src/policies/routing/least-cost.ts
+++ b/packages/decisions/src/policies/routing/least-cost.ts
@@ -10,23 +10,32 @@
 import type { RoutingPolicy, SlotLimit } from './RoutingPolicy.js';
 
 interface LeastCostOptions {
-  /** Load that a warm prefix is worth, as a share of capacity, per 1,000 prompt tokens. */
+  /**
+   * Load that a cached prefix offsets, as a share of capacity per 1,000 prompt
+   * tokens.
+   */
   readonly prefixWorth: number;
-  /** Upper bound of `prefixWorth` for long prompts. */
+  /** Upper bound of the offset for long prompts. */
   readonly maxPrefixWorth: number;
-  /** Load that another failure domain costs, as a share of capacity. */
+  /**
+   * Load to which another failure domain is equivalent, as a share of capacity.
+   */
   readonly domainCost: number;
-  /** Older reports are not used. */
+  /** Age from which load reports are ignored, in milliseconds. */
   readonly maxReportAgeMs: number;
   /** Time between probes of a straggler, in milliseconds. */
   readonly probeEveryMs: number;
-  /** Weight of the load report against own requests scaled to the fleet. */
+  /**
+   * Weight of the load report, relative to own requests scaled to the fleet.
+   */
   readonly reportWeight: number;
   readonly avoidStragglers: boolean;
 }
 
-/** A server with its fitness; the score counts only where it is fit. */
-interface Judgement {
+/**
+ * A server with its verdict; the score counts only if the server is eligible.
+ */
+interface Evaluation {
   readonly view: BackendView;
   readonly verdict: CandidateView['verdict'];
   readonly score: number;
@@ -36,11 +45,12 @@
 const TOKENS_PER_UNIT = 1000;
 
 /**
- * Requests on the server as of now, from two views that each miss something.
+ * Estimates the current number of requests on a server from two sources, each
+ * of which is incomplete.
  *
- * The report counts everybody's requests but lags, so own requests are taken
- * out as of then and put back as of now. Followed alone it sends all instances
- * to the same server at once; own requests scaled to the fleet do not.
+ * The report counts the requests of all instances but lags, so own requests are
+ * corrected to their present number. Used alone, it sends all instances to the
+ * same server at once; own requests scaled to the fleet do not.
  */
 function estimatedLoad(
   view: BackendView,
@@ -57,6 +67,10 @@
   return scaled + reportWeight * (corrected - scaled);
 }
 
+/**
+ * Whether a request may probe a straggler: not one of the highest tier, and
+ * only if running it twice does no harm.
+ */
 function mayProbe(
   view: BackendView,
   record: RequestRecord,
@@ -101,26 +115,31 @@
       options.reportWeight,
       board.clock() - options.maxReportAgeMs,
     );
-    const worth = Math.min(
+    const prefixValue = Math.min(
       options.maxPrefixWorth,
       (options.prefixWorth * record.request.promptTokens) / TOKENS_PER_UNIT,
     );
-    const warm = view.prefixes.has(record.request.prefixHash) ? worth : 0;
-    const remote =
+    const affinityBonus = view.prefixes.has(record.request.prefixHash)
+      ? prefixValue
+      : 0;
+    const remoteCost =
       view.server.failureDomain === board.placement.failureDomain
         ? 0
         : options.domainCost;
     return (
-      load / view.server.capacity - warm + remote + board.random() * TIE_BREAK
+      load / view.server.capacity -
+      affinityBonus +
+      remoteCost +
+      board.random() * TIE_BREAK
     );
   };
 
-  const judge = (
+  const evaluate = (
     view: BackendView,
     record: RequestRecord,
     slots: SlotLimit,
     nowMs: number,
-  ): Judgement => {
+  ): Evaluation => {
     const verdict = verdictOf(view, record, slots, nowMs);
     const score = verdict === 'worse' ? scoreOf(view, record) : Infinity;
     return { view, verdict, score };
@@ -128,8 +147,8 @@
 
   return (record, views, slots) => {
     const nowMs = board.clock();
-    const judged = views.map(view => judge(view, record, slots, nowMs));
-    const best = judged.reduce<Judgement | undefined>(
+    const evaluations = views.map(view => evaluate(view, record, slots, nowMs));
+    const best = evaluations.reduce<Evaluation | undefined>(
       (winner, next) =>
         next.verdict === 'worse' && next.score < (winner?.score ?? Infinity)
           ? next
@@ -142,7 +161,7 @@
     return {
       view: best?.view,
       candidates: () =>
-        judged.map(({ view, score, verdict }) => ({
+        evaluations.map(({ view, score, verdict }) => ({
           backendServer: view.server.id,
           score,
           inFlight: view.inFlight,
--- a/packages/decisions/src/policies/routing/least-outstanding.ts
+++ b/packages/decisions/src/policies/routing/least-outstanding.ts
@@ -5,7 +5,7 @@
 import { isFit } from './isFit.js';
 import type { RoutingPolicy } from './RoutingPolicy.js';
 
-/** Baseline that takes the server with the fewest own requests in flight. */
+/** Baseline that chooses the server with the fewest own requests in flight. */
 export const leastOutstanding = createPolicyUnit<object, RoutingPolicy>({
   name: 'least-outstanding',
   description:
--- a/packages/decisions/src/policies/routing/round-robin.ts
+++ b/packages/decisions/src/policies/routing/round-robin.ts
@@ -4,7 +4,7 @@
 import { isFit } from './isFit.js';
 import type { RoutingPolicy } from './RoutingPolicy.js';
 
-/** Baseline that takes servers in turn. */
+/** Baseline that chooses servers in turn. */
 export const roundRobin = createPolicyUnit<object, RoutingPolicy>({
   name: 'round-robin',
   description: 'Takes the servers of a pool in turn; a baseline.',
--- a/packages/decisions/src/subset/evenSubset.ts
+++ b/packages/decisions/src/subset/evenSubset.ts
@@ -3,14 +3,17 @@
 
 import { byHash } from '../util/byHash.js';
 
-interface Placed {
+interface RingEntry {
   readonly server: BackendServer;
   /** Position on the ring, in [0, 1). */
   readonly position: number;
 }
 
-/** Spreads each failure domain evenly over the ring, so that any arc spans domains. */
-function placeOnRing(servers: readonly BackendServer[]): readonly Placed[] {
+/**
+ * Spreads the servers of each failure domain evenly over the ring, so that any
+ * arc spans domains.
+ */
+function placeOnRing(servers: readonly BackendServer[]): readonly RingEntry[] {
   return [...groupBy(servers, ({ failureDomain }) => failureDomain).values()]
     .flatMap(members =>
       [...members]
@@ -25,16 +28,16 @@
 /**
  * Chooses the servers that one instance uses.
  *
- * Each instance takes evenly spaced places on a ring of servers and is shifted
- * against the next instance by an equal step. Every server is then used by the
- * same number of instances, plus or minus one, and a join or leave moves each
- * place by at most one step. See docs/design/subsets.md.
+ * Each instance takes evenly spaced positions on a ring of servers and is
+ * shifted by an equal step from the next instance. Every server is then used by
+ * the same number of instances, give or take one, and an instance that joins or
+ * leaves moves each position by at most one step. See docs/design/subsets.md.
  *
  * @param servers - all servers of a pool
  * @param instances - all live instances
  * @param self - the instance that chooses
- * @param size - servers wanted per instance
- * @returns the subset; all servers when there are no more than `size`
+ * @param size - number of servers per instance
+ * @returns the subset; all servers if there are no more than `size`
  */
 export function evenSubset(
   servers: readonly BackendServer[],
--- a/packages/decisions/tests/limits/OrganisationLimits.test.ts
+++ b/packages/decisions/tests/limits/OrganisationLimits.test.ts
@@ -19,27 +19,34 @@
   limits: { requestsPerSecond, tokensPerSecond: 1e9 },
 });
 
-/** Offers more than the limit on every instance and counts what passes. */
-function admitted(offers: readonly number[], seconds: number, limit: number) {
-  const nodes = offers.map(() => new OrganisationLimits());
+/**
+ * Offers each instance a number of requests a second; returns how many of them
+ * all were admitted.
+ */
+function countAdmitted(
+  offers: readonly number[],
+  seconds: number,
+  limit: number,
+) {
+  const limiters = offers.map(() => new OrganisationLimits());
   const ledger = new DemandLedger();
-  nodes.forEach(node => {
-    // An instance knows the fleet before it has a configuration.
-    node.closePeriod(offers.length, 0);
-    node.configure([limited(limit)], 0);
+  limiters.forEach(limiter => {
+    // An instance knows the size of the fleet before it has a configuration.
+    limiter.closePeriod(offers.length, 0);
+    limiter.configure([limited(limit)], 0);
   });
-  let passed = 0;
+  let admittedCount = 0;
   for (let second = 0; second < seconds; second += 1) {
     const nowMs = second * PERIOD_MS;
-    nodes.forEach((node, index) => {
+    limiters.forEach((limiter, index) => {
       Array.from({ length: offers[index] ?? 0 }, (_, i) => i).forEach(i => {
         const atMs = nowMs + (i * PERIOD_MS) / (offers[index] ?? 1);
-        passed += node.charge(ID, 1, atMs) === 0 ? 1 : 0;
+        admittedCount += limiter.charge(ID, 1, atMs) === 0 ? 1 : 0;
       });
     });
     const endMs = nowMs + PERIOD_MS;
-    nodes.forEach((node, index) => {
-      node.closePeriod(offers.length, endMs).forEach(({ requests }) => {
+    limiters.forEach((limiter, index) => {
+      limiter.closePeriod(offers.length, endMs).forEach(({ requests }) => {
         const reporter = brand<InstanceId>(`entry-${index}`);
         const share = ledger.report(
           ID,
@@ -49,12 +56,12 @@
           endMs,
         );
         if (share !== null) {
-          node.grant(ID, share, endMs);
+          limiter.grant(ID, share, endMs);
         }
       });
     });
   }
-  return passed;
+  return admittedCount;
 }
 
 describe('OrganisationLimits', ({ it }) => {
@@ -79,40 +86,42 @@
     t.false(result.failed, fc.defaultReportMessage(result) ?? '');
   });
 
-  it('holds the limit over all instances when one gets most calls', t => {
-    // An organisation exceeds its limit eightfold by calling all instances.
+  it('enforces the limit over all instances when one of them gets most requests', t => {
+    // Guards against an organisation that exceeds its limit eightfold by calling
+    // all instances.
     const seconds = 30;
-    const passed = admitted([100, 5, 5, 5], seconds, 20);
-    // Two seconds of burst at the start are allowed on top.
-    t.true(passed <= 20 * (seconds + 3), `${passed}`);
-    t.true(passed >= 20 * seconds * 0.8, `${passed}`);
+    const admittedCount = countAdmitted([100, 5, 5, 5], seconds, 20);
+    // A burst of two seconds at the start is allowed on top.
+    t.true(admittedCount <= 20 * (seconds + 3), `${admittedCount}`);
+    t.true(admittedCount >= 20 * seconds * 0.8, `${admittedCount}`);
   });
 
-  it('says when a retry is useful', t => {
-    const node = new OrganisationLimits();
-    node.configure([limited(1)], 0);
-    const waits = Array.from({ length: 4 }, () => node.charge(ID, 1, 0));
+  it('returns the time after which a retry is useful', t => {
+    const limiter = new OrganisationLimits();
+    limiter.configure([limited(1)], 0);
+    const waits = Array.from({ length: 4 }, () => limiter.charge(ID, 1, 0));
     t.deepEqual(waits.slice(0, 2), [0, 0]);
     t.true((waits[3] ?? 0) > 0);
-    t.is(node.charge(ID, 1, waits[3] ?? 0), 0);
+    t.is(limiter.charge(ID, 1, waits[3] ?? 0), 0);
   });
 
-  it('returns to the even share when the owner falls silent', t => {
-    // An instance keeps nearly a whole limit for ever, because the owner that
-    // gave it died and the others were given their shares by the next one.
-    const node = new OrganisationLimits();
-    node.closePeriod(4, 0);
-    node.configure([limited(40)], 0);
-    node.grant(ID, 1, 0);
-    node.closePeriod(4, 20_000);
-    const passed = Array.from({ length: 200 }, () =>
-      node.charge(ID, 1, 30_000),
+  it('returns to the even share when the owner stops answering', t => {
+    // Guards against an instance that keeps nearly a whole limit for ever, because
+    // the owner that granted it died and the next owner granted shares only to
+    // other instances.
+    const limiter = new OrganisationLimits();
+    limiter.closePeriod(4, 0);
+    limiter.configure([limited(40)], 0);
+    limiter.grant(ID, 1, 0);
+    limiter.closePeriod(4, 20_000);
+    const admittedCount = Array.from({ length: 200 }, () =>
+      limiter.charge(ID, 1, 30_000),
     ).filter(waitMs => waitMs === 0).length;
-    // A quarter of forty a second, saved up for two seconds.
-    t.is(passed, 20);
+    // A quarter of 40 requests a second, saved up for two seconds.
+    t.is(admittedCount, 20);
   });
 
-  it('gives no shares before a new owner has heard the reporters', t => {
+  it('gives no shares until a new owner has heard the reporters', t => {
     const ledger = new DemandLedger();
     const ask = (name: string, atMs: number) =>
       ledger.report(ID, brand<InstanceId>(name), 10, 4, atMs);
@@ -122,9 +131,9 @@
   });
 
   it('drops organisations that were removed', t => {
-    const node = new OrganisationLimits();
-    node.configure([limited(1)], 0);
-    node.configure([], 0);
-    t.is(node.charge(ID, 1e12, 0), 0);
+    const limiter = new OrganisationLimits();
+    limiter.configure([limited(1)], 0);
+    limiter.configure([], 0);
+    t.is(limiter.charge(ID, 1e12, 0), 0);
   });
 });
--- a/packages/decisions/tests/limits/OwnerRing.test.ts
+++ b/packages/decisions/tests/limits/OwnerRing.test.ts
@@ -29,7 +29,7 @@
     });
   });
 
-  it('spreads organisations over the fleet', t => {
+  it('spreads organisations over all instances, and has no owner without any', t => {
     const ring = new OwnerRing(fleet(8));
     const owners = new Set(organisations.map(id => ring.ownerOf(id)));
     t.is(owners.size, 8);
--- a/packages/decisions/tests/policies/policies.test.ts
+++ b/packages/decisions/tests/policies/policies.test.ts
@@ -8,7 +8,7 @@
 
 describe('policy catalogue', ({ it }) => {
   POLICY_CATALOGUE.forEach(({ name, description, defaults }) => {
-    it(`has a page that tells the truth about ${name}`, t => {
+    it(`has a page with the description and the defaults of ${name}`, t => {
       const file = path.join(pages, `${name}.md`);
       t.true(existsSync(file), file);
       const page = readFileSync(file, 'utf8').replaceAll(/ +/g, ' ');
--- a/packages/decisions/tests/subset/evenSubset.test.ts
+++ b/packages/decisions/tests/subset/evenSubset.test.ts
@@ -30,7 +30,7 @@
 }
 
 describe('evenSubset', ({ it }) => {
-  it('uses every server equally often, within one', t => {
+  it('uses every server equally often, give or take one', t => {
     const property = fc.property(
       fc.integer({ min: 1, max: 60 }),
       fc.integer({ min: 1, max: 90 }),
@@ -44,7 +44,7 @@
     t.false(result.failed, fc.defaultReportMessage(result) ?? '');
   });
 
-  it('spans the failure domains', t => {
+  it('spans all failure domains', t => {
     const [self] = instancesOf(1);
     const chosen = evenSubset(
       serversOf(60),
@@ -55,7 +55,7 @@
     t.is(new Set(chosen.map(server => server.failureDomain)).size, 6);
   });
 
-  it('moves little when an instance joins', t => {
+  it('keeps over nine tenths of the choices when an instance joins', t => {
     const before = instancesOf(100);
     const after = [...before, brand<InstanceId>('entry-new')];
     const servers = serversOf(160);
