--- a/packages/decisions/src/gateway/crashes/CrashLedger.ts
+++ b/packages/decisions/src/gateway/crashes/CrashLedger.ts
@@ -135,7 +135,7 @@
     this.#clearContent(content);
   }
 
-  /** Takes in that a run sent bytes, which may show that it has not ended. */
+  /** Records bytes from a run, which may show that it has not ended. */
   onBytes(run: CrashedRun): void {
     const crash = this.#crashes.get(keyOf(run));
     if (!crash || crash.goesOn) {
--- a/packages/decisions/src/gateway/crashes/crashNews.ts
+++ b/packages/decisions/src/gateway/crashes/crashNews.ts
@@ -19,14 +19,14 @@
   readonly suspects: readonly RequestFingerprint[];
 }
 
-/** What one instance tells another about crashes. */
+/** What one instance reports to another about crashes. */
 export interface CrashNews {
   readonly crashes: readonly CrashReport[];
   /** Contents that were served although they had been suspects. */
   readonly cleared: readonly RequestFingerprint[];
 }
 
-/** What an instance tells that knows of no crash. */
+/** Message of an instance that knows of no crash. */
 export const EMPTY_CRASH_NEWS: CrashNews = { crashes: [], cleared: [] };
 
 /** A crash as an instance remembers it. */
--- a/packages/decisions/src/gateway/limits/ReplicaLimits.ts
+++ b/packages/decisions/src/gateway/limits/ReplicaLimits.ts
@@ -49,7 +49,7 @@
  * Guards against overloading a replica although each instance by itself sends
  * it little. A few instances share each limit; the others use other replicas. A
  * new sender starts with an empty bucket, so that it sends only after the
- * previous sender has heard of the change.
+ * previous sender has learnt of the change.
  */
 export class ReplicaLimits {
   readonly #buckets = new Map<BackendServerId, TokenBucket>();
--- a/packages/decisions/src/gateway/limits/limitNews.ts
+++ b/packages/decisions/src/gateway/limits/limitNews.ts
@@ -4,7 +4,7 @@
 import type { GatewayBoard } from '../GatewayBoard.js';
 import { isSameRun } from '../replicaRuns.js';
 
-/** What a replica last reported of its limit, as instances tell each other. */
+/** A replica's last report of its limit, as instances pass it on. */
 export interface LimitReport {
   readonly id: BackendServerId;
   /** Start of its run in Unix milliseconds; null if unknown. */
@@ -39,7 +39,7 @@
 }
 
 /**
- * Selects what this instance tells others of limits: recent changes, and some
+ * Selects the limits to report to other instances: recent changes, and some
  * of the rest for instances that missed them.
  *
  * @param board - the blackboard
--- a/packages/decisions/src/gateway/recovery/RetryGain.ts
+++ b/packages/decisions/src/gateway/recovery/RetryGain.ts
@@ -24,7 +24,7 @@
   readonly #successRates = new Map<RouteId, number>();
   readonly #skipped = new Map<RouteId, number>();
 
-  /** Takes in whether a retry was answered. */
+  /** Records whether a retry was answered. */
   onRetried(route: RouteId, answered: boolean): void {
     const before = this.#successRates.get(route) ?? PRIOR_SUCCESS_RATE;
     const outcome = answered ? 1 : 0;
--- a/packages/decisions/tests/gateway/crashes/CrashLedger.test.ts
+++ b/packages/decisions/tests/gateway/crashes/CrashLedger.test.ts
@@ -120,7 +120,7 @@
     });
   });
 
-  group('tells other instances', ({ it }) => {
+  group('informs other instances', ({ it }) => {
     it('of several crashes although each instance saw only one', t => {
       const instances = ['a', 'b', 'c'].map(name => {
         const one = fixture();
@@ -161,7 +161,7 @@
       t.true(here.ledger.isEmpty);
     });
 
-    it('at once of a second loss, but not of a report that it has already heard', t => {
+    it('at once of a second loss, but not of a report that it already received', t => {
       const [here, there] = [fixture(), fixture()];
       let announcements = 0;
       there.ledger.onNews(() => {
@@ -172,7 +172,7 @@
       t.is(
         announcements,
         0,
-        'a first loss is told with the next regular message',
+        'a first loss is sent with the next regular message',
       );
       here.lose(CONTENT, 'b');
       there.ledger.onPeer(here.ledger.news);
--- a/packages/decisions/tests/gateway/placement/tolerance-split.test.ts
+++ b/packages/decisions/tests/gateway/placement/tolerance-split.test.ts
@@ -88,7 +88,7 @@
     t.true(Math.max(...counts) < 50, counts.join(' '));
   });
 
-  it('counts the requests of instances that it does not hear from', t => {
+  it('counts the requests of instances that it receives no messages from', t => {
     // Guards against instances that are cut off from each other and all fill the
     // same replica. The replica's answers report how many requests it really has.
     const fixture = gatewayFixture([LIVE], REPLICAS.slice(0, 2));
--- a/packages/decisions/tests/gateway/recovery/RetryGain.test.ts
+++ b/packages/decisions/tests/gateway/recovery/RetryGain.test.ts
@@ -9,7 +9,7 @@
   it('stops retries on a route where they fail, but goes on probing', t => {
     // Guards against useless retries: where a service fails requests because of
     // their content, each would run twice, and the retry budget would be used up
-    // when a replica really dies.
+    // when a replica really crashes.
     const gain = new RetryGain();
     Array.from({ length: 20 }).forEach(() => {
       gain.onRetried(id, false);
--- a/packages/decisions/tests/limits/OrganisationLimits.test.ts
+++ b/packages/decisions/tests/limits/OrganisationLimits.test.ts
@@ -106,8 +106,8 @@
   });
 
   it('returns to the even share when the owner stops answering', t => {
-    // Guards against an instance that keeps nearly a whole limit for ever, because
-    // the owner that granted it died and the next owner granted shares only to
+    // Guards against an instance that keeps nearly a whole limit for good, because
+    // the owner that granted it crashed and the next owner granted shares only to
     // other instances.
     const limiter = new OrganisationLimits();
     limiter.closePeriod(4, 0);
@@ -121,7 +121,7 @@
     t.is(admittedCount, 20);
   });
 
-  it('gives no shares until a new owner has heard the reporters', t => {
+  it('gives no shares until a new owner has collected reports', t => {
     const ledger = new DemandLedger();
     const ask = (name: string, atMs: number) =>
       ledger.report(ID, brand<InstanceId>(name), 10, 4, atMs);
