--- a/packages/decisions/src/gateway/AnswerLengths.ts
+++ b/packages/decisions/src/gateway/AnswerLengths.ts
@@ -1,49 +1,63 @@
 import type { PromptFacts, RouteId, RoutedService } from '@jujubecroft/types';
 
-/** Mean length of a route's answers, as one instance has seen them. */
+/** Mean length of a route's answers, as observed by one instance. */
 export interface SeenLength {
   readonly route: RouteId;
-  /** Mean pieces of an answer. */
+  /** Mean number of pieces (stream events) per answer. */
   readonly pieces: number;
-  /** Answers that the mean stands for. */
+  /** Number of answers that the mean is weighted by. */
   readonly answers: number;
 }
 
-/** Pieces of a number of answers. */
+/** Total number of pieces over a number of answers. */
 interface LengthSum {
   pieces: number;
   answers: number;
 }
 
-/** The newest answers count as much as if the mean were of so many. */
-const MAX_ANSWERS = 33;
-/** Pieces assumed before an answer of the route has ended. */
-const PRIOR_PIECES = 40;
+/** Cap on the weight of the mean, so that it keeps following recent answers. */
+const MAX_WEIGHT_ANSWERS = 33;
+/** Length assumed until an answer of the route has been observed, in pieces. */
+const DEFAULT_PIECES = 40;
 
-/** Learns how many pieces the streams of each route have. */
+/** Learns how many pieces (stream events) the answers of each route have. */
 export class AnswerLengths {
-  readonly #seen = new Map<RouteId, SeenLength>();
+  readonly #observed = new Map<RouteId, SeenLength>();
   #peers = new Map<RouteId, LengthSum>();
 
-  /** What this instance has seen of all routes. */
+  /** Mean lengths of all routes that this instance has observed. */
   get own(): readonly SeenLength[] {
-    return [...this.#seen.values()];
+    return [...this.#observed.values()];
   }
 
-  /** What this instance has seen of a route, for the others. */
+  /**
+   * Returns the mean length that this instance has observed for a route.
+   *
+   * @param route - route of the answers
+   * @returns the mean; zero pieces over zero answers where none was observed
+   */
   seen(route: RouteId): SeenLength {
-    return this.#seen.get(route) ?? { route, pieces: 0, answers: 0 };
+    return this.#observed.get(route) ?? { route, pieces: 0, answers: 0 };
   }
 
-  /** Takes in the length of a whole answer. */
+  /**
+   * Records the length of a complete answer.
+   *
+   * @param route - route of the answer
+   * @param pieces - number of stream events in the answer
+   */
   onEnded(route: RouteId, pieces: number): void {
     const before = this.seen(route);
-    const answers = Math.min(MAX_ANSWERS, before.answers + 1);
+    const answers = Math.min(MAX_WEIGHT_ANSWERS, before.answers + 1);
     const mean = before.pieces + (pieces - before.pieces) / answers;
-    this.#seen.set(route, { route, pieces: mean, answers });
+    this.#observed.set(route, { route, pieces: mean, answers });
   }
 
-  /** Takes in what the other instances have seen. */
+  /**
+   * Replaces the lengths that the other instances have reported.
+   *
+   * @param lengths - one entry for each instance and route
+   */
   onPeers(lengths: readonly SeenLength[]): void {
     this.#peers = new Map();
     lengths.forEach(({ route, pieces, answers }) => {
@@ -55,21 +69,26 @@
   }
 
   /**
-   * Says how many pieces an answer will have.
+   * Predicts how many pieces an answer will have.
    *
-   * A caller's guess is right in the middle and often far off, so it counts
-   * half against what the route's answers have on average. No answer is longer
-   * than its caller allows.
+   * The caller's estimate is right on average but often far off, so it is
+   * averaged with the mean length of the route's answers. The result never
+   * exceeds the output limit that the caller has set.
    *
-   * Guards against an instance that has just started and takes short answers for
-   * long ones, ten times as long as they are: it turns urgent requests away since
-   * none of them seems to end in time, and so never sees one end. It shows as
-   * refusals with a short wait and a late end right after a start, and for as
-   * long as a day where sixty instances share a few short answers a second.
+   * Until an answer of the route has been observed, the default length applies.
+   * If answers are in fact much shorter (a tenth of it, for example), an instance
+   * that has just started rejects urgent requests because none seems to finish in
+   * time, and therefore never observes an answer. The symptom is a rejection with
+   * a short predicted wait and a late predicted end right after a start; where
+   * sixty instances share a few short answers per second, it can last for a day.
+   * Therefore the first observed answers replace the default at once, and lengths
+   * reported by other instances count as well.
    *
-   * @param route - of the request
-   * @param prompt - what the request says of its answer
-   * @param service - tells the tokens of a piece
+   * @param route - route of the request
+   * @param prompt - what the request says about its answer; null without a
+   *   prompt
+   * @param service - service of the request; provides the tokens per piece
+   * @returns the predicted number of pieces
    */
   expect(
     route: RouteId,
@@ -87,10 +106,11 @@
   }
 
   /**
-   * Mean pieces of a route's answers, over all instances that were heard of.
+   * Returns the mean length of a route's answers over all instances that
+   * reported.
    *
-   * @param route - of the answers
-   * @returns the mean; null until any of them has seen an answer
+   * @param route - route of the answers
+   * @returns the mean in pieces; null until any instance has observed an answer
    */
   known(route: RouteId): number | null {
     const own = this.seen(route);
@@ -100,8 +120,11 @@
     return answers > 0 ? pieces / answers : null;
   }
 
-  /** @returns the same; an assumed figure until any of them has seen one */
+  /**
+   * Returns the mean length of a route's answers, or the default length until
+   * any instance has observed an answer.
+   */
   usual(route: RouteId): number {
-    return this.known(route) ?? PRIOR_PIECES;
+    return this.known(route) ?? DEFAULT_PIECES;
   }
 }
--- a/packages/decisions/src/gateway/BackendLoad.ts
+++ b/packages/decisions/src/gateway/BackendLoad.ts
@@ -15,119 +15,145 @@
 import { PromptMemory } from './PromptMemory.js';
 import { ReplicaHealth } from './ReplicaHealth.js';
 
-/** What decisions need to know of one caller's request. */
+/** What routing decisions need to know about one request of a caller. */
 export interface GatewayRequest {
   readonly id: RequestId;
   readonly route: Route;
   readonly service: RoutedService;
   /** Null on public routes. */
   readonly organisation: OrganisationId | null;
-  /** Place in the order of urgency of the service; 0 goes first. */
+  /** Position in the service's priority order; 0 is the most urgent. */
   readonly priority: number;
   /** Null where the request has no prompt. */
   readonly prompt: PromptFacts | null;
   readonly arrivedMs: number;
-  /** When the answer must have ended, on the local clock. */
+  /** Deadline for the end of the answer, on the local clock. */
   readonly deadlineMs: number;
-  /** Whether the caller was turned away before, as far as its time left tells. */
+  /**
+   * Whether this seems to be a retry of a rejected request, judged by the time
+   * that the caller has left.
+   */
   readonly cameBack: boolean;
-  /** Works out the fingerprint of its content, which is seldom needed. */
+  /**
+   * Computes the fingerprint of the content on demand, since it is rarely
+   * needed.
+   */
   readonly fingerprint: () => RequestFingerprint;
 }
 
-/** One request at one replica. */
+/** One attempt to run a request on one replica. */
 export interface GatewayAttempt {
   readonly request: GatewayRequest;
   readonly load: BackendLoad;
-  /** 1 for the first. */
+  /** Number of the attempt; 1 for the first. */
   readonly number: number;
-  /** The same, counting only attempts that left this instance. */
+  /** Number of the attempt, counting only attempts that left this instance. */
   readonly sentNumber: number;
   readonly sentMs: number;
-  /** Prompt tokens that the replica has to read for this request. */
+  /** Prompt tokens of this request that the replica has to read. */
   readonly unreadTokens: number;
-  /** Prompt tokens to be read there up to the end of this request. */
+  /**
+   * Prompt tokens that the replica reads up to the end of this prompt,
+   * including those of requests ahead of it.
+   */
   readonly tokensAhead: number;
-  /** Whether it steps behind what can still be on time. */
+  /**
+   * Whether the request is demoted behind requests that can still meet their
+   * target.
+   */
   readonly isDeferred: boolean;
-  /** At which the replica serves it; 0 first. */
+  /** Rank at which the replica serves the request; 0 is served first. */
   readonly rank: number;
-  /** What the replica copies from another one first; null where nothing. */
+  /**
+   * Prompt cache that the replica copies from another replica first; null for
+   * none.
+   */
   readonly fetch: CacheFetch | null;
   readonly predictedMs: number;
-  /** Pieces of the answer that came so far. */
+  /** Pieces (stream events) of the answer received so far. */
   pieces: number;
-  /** Attempts that were sent there later, are no more urgent and began before it. */
+  /**
+   * Number of attempts that were sent to the replica later, are no more urgent
+   * and yet received their first byte earlier.
+   */
   overtaken: number;
   firstByteMs: number | null;
   lastByteMs: number | null;
 }
 
-/** What other instances run on a replica, summed over them. */
+/** Use of a replica by the other instances, summed up. */
 export interface PeerUse {
   readonly inFlight: number;
-  /** Prompt tokens that are not read yet, by the rank of their requests. */
+  /** Prompt tokens still to be read, indexed by the rank of their requests. */
   readonly unreadByRank: readonly number[];
 }
 
 export const NO_PEER_USE: PeerUse = { inFlight: 0, unreadByRank: [] };
 
-/** Load that a replica told in an answer. */
+/** Load that a replica reported with an answer. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
-/** A load report with the time at which the replica told it, on the local clock. */
-export interface TimedReport {
-  /** Requests that run or wait at the replica, of all instances. */
+/** A load report with the local time at which the replica sent it. */
+export interface TimestampedLoad {
+  /** Requests of all instances that run or wait at the replica. */
   readonly total: number;
   readonly atMs: number;
 }
 
-/** What a replica said of the requests that it takes, on the local clock. */
+/**
+ * Request limit announced by a replica, with the local time of the
+ * announcement.
+ */
 export interface NamedLimit {
-  /** Requests a second from all instances together; null for no limit. */
+  /** Requests per second from all instances together; null for no limit. */
   readonly perS: number | null;
   readonly atMs: number;
 }
 
-/** Time for which a reported load says something of the present. */
-const REPORT_MAX_AGE_MS = 1000;
-/** Stands for all priorities where a replica serves in the order of arrival. */
+/** Age up to which a load report is used. */
+const MAX_REPORT_AGE_MS = 1000;
+/**
+ * Key that stands for all priorities at replicas that serve in order of
+ * arrival.
+ */
 export const ONE_QUEUE = 0;
-/** Weight of the newest sample of a replica's slowness. */
-const SLOWNESS_WEIGHT = 0.15;
-/** Weight of the newest pause in the pace of a replica's streams. */
-const PACE_WEIGHT = 0.03;
-/** Pause between pieces assumed before any came, in milliseconds. */
-const PRIOR_PACE_MS = 30;
-const MIN_SLOWNESS = 0.5;
-const MAX_SLOWNESS = 8;
-/** Cache size assumed where the configuration doesn't tell one, in tokens. */
+/** Smoothing factor of the ratio of measured to predicted latency. */
+const LATENCY_RATIO_WEIGHT = 0.15;
+/** Smoothing factor of the interval between stream events. */
+const EVENT_INTERVAL_WEIGHT = 0.03;
+/** Interval between stream events assumed before any was measured. */
+const INITIAL_EVENT_INTERVAL_MS = 30;
+const MIN_LATENCY_RATIO = 0.5;
+const MAX_LATENCY_RATIO = 8;
+/**
+ * Cache size assumed where the configuration does not specify one, in tokens.
+ */
 const DEFAULT_CACHE_TOKENS = 200_000;
 
-/** Everything that this instance knows of the use of one replica. */
+/** What this instance knows about the load, health and cache of one replica. */
 export class BackendLoad {
   readonly attempts = new Set<GatewayAttempt>();
   readonly health: ReplicaHealth;
   readonly memory: PromptMemory;
-  /** Place in the order of hashes, which is compared for every request. */
+  /** Hashed id, kept because replicas are ordered by hash for every request. */
   readonly hashedId: HashedId;
   replica: Replica;
   peers: PeerUse = NO_PEER_USE;
-  /** Whether that is scaled up from a few instances that were heard of. */
-  peersAreSample = false;
+  /** Whether `peers` is extrapolated from the few instances that reported. */
+  isPeerUseExtrapolated = false;
   /**
-   * Pause between pieces of a stream, smoothed, in milliseconds. It grows many
-   * times over while a replica reads prompts without a break.
+   * Smoothed interval between the events of a stream, in milliseconds. It grows
+   * many times over while a replica reads prompts without a break.
    */
-  paceMs = PRIOR_PACE_MS;
+  paceMs = INITIAL_EVENT_INTERVAL_MS;
   lastByteMs = -Infinity;
-  #report: TimedReport | null = null;
+  #report: TimestampedLoad | null = null;
   #limit: NamedLimit | null = null;
-  readonly #slowness = new Map<number, number>();
+  readonly #latencyRatios = new Map<number, number>();
 
   constructor(
     replica: Replica,
@@ -148,13 +174,14 @@
   }
 
   /**
-   * Attempts of all instances, as far as known.
+   * Estimated number of attempts of all instances that have not ended.
    *
-   * Guards against crowding a replica whose other users this instance doesn't
-   * hear of, as when instances are cut off from each other: the replica's own
-   * report counts them all, though it is only as fresh as the last answer that
-   * any instance got there. Where peers are a sample, the report alone counts: a
-   * few instances scaled up say little of one replica.
+   * The replica's own report counts the requests of all instances, including
+   * those that this instance does not hear from, as in a network partition. It
+   * prevents overloading such a replica, but is only as recent as the last
+   * answer that any instance received from it. Where `peers` is extrapolated,
+   * only the report is used: a few instances scaled up say little about a
+   * single replica.
    */
   get totalInFlight(): number {
     const report = this.freshReport;
@@ -162,28 +189,28 @@
       return this.inFlight + this.peers.inFlight;
     }
     const reported = this.#reportedOthers(report);
-    const others = this.peersAreSample
+    const others = this.isPeerUseExtrapolated
       ? reported
       : Math.max(this.peers.inFlight, reported);
     return this.inFlight + others;
   }
 
-  #reportedOthers(report: TimedReport): number {
-    const ownThen = [...this.attempts].filter(
+  #reportedOthers(report: TimestampedLoad): number {
+    const ownIncluded = [...this.attempts].filter(
       ({ sentMs }) => sentMs <= report.atMs,
     );
-    return Math.max(0, report.total - ownThen.length);
+    return Math.max(0, report.total - ownIncluded.length);
   }
 
-  /** The newest report, for other instances; null once it says nothing more. */
-  get freshReport(): TimedReport | null {
+  /** The newest load report; null once it is too old to be used. */
+  get freshReport(): TimestampedLoad | null {
     const report = this.#report;
     const isFresh =
-      report !== null && this.clock() - report.atMs <= REPORT_MAX_AGE_MS;
+      report !== null && this.clock() - report.atMs <= MAX_REPORT_AGE_MS;
     return isFresh ? report : null;
   }
 
-  /** Prompt tokens that this instance sent and that are not read yet, by rank. */
+  /** Prompt tokens sent by this instance and not read yet, indexed by rank. */
   get ownUnreadByRank(): readonly number[] {
     const byRank: (number | undefined)[] = [];
     this.#waiting.forEach(({ rank, unreadTokens }) => {
@@ -193,15 +220,16 @@
   }
 
   /**
-   * Prompt tokens that the replica reads before a new request's, over all
-   * instances as far as known.
+   * Estimates how many prompt tokens of all instances the replica reads before
+   * those of a new request.
    *
-   * Less urgent ones are left out, since the replica lets the request go before
-   * them. Counted in, urgent requests would be turned away for a wait that they
-   * don't have, and whatever an instance doesn't know of less urgent work would
-   * mislead it about urgent requests too.
+   * Less urgent requests are not counted, since the replica serves the new
+   * request before them. Counting them would reject urgent requests for a wait
+   * that they do not have, and would let gaps in what an instance knows about
+   * less urgent work distort its decisions on urgent requests.
    *
-   * @param rank - at which the request would go there
+   * @param rank - rank at which the replica would serve the request
+   * @returns the number of tokens
    */
   unreadAhead(rank: number): number {
     const own = this.#ownUnread(attempt => attempt.rank <= rank);
@@ -212,9 +240,9 @@
   }
 
   /**
-   * Prompt tokens of this instance's less urgent requests that wait to be read.
+   * Returns the unread prompt tokens of this instance's less urgent requests.
    *
-   * @param priority - of the request that is compared with, 0 first
+   * @param priority - position in the priority order to compare with, 0 first
    */
   lessUrgentUnread(priority: number): number {
     return this.#ownUnread(({ request }) => request.priority > priority);
@@ -230,32 +258,40 @@
       .reduce((sum, { unreadTokens }) => sum + unreadTokens, 0);
   }
 
-  /** Takes in the load that the replica told with an answer. */
+  /** Records the load that the replica reported with an answer. */
   onReported({ running, waiting }: ReportedLoad): void {
     this.#report = { total: running + waiting, atMs: this.clock() };
   }
 
-  /** Takes in what the replica told another instance, if that is newer. */
-  onPeerReport(report: TimedReport): void {
+  /** Records a load report that another instance received, if it is newer. */
+  onPeerReport(report: TimestampedLoad): void {
     if (report.atMs > (this.#report?.atMs ?? -Infinity)) {
       this.#report = report;
     }
   }
 
-  /** What the replica last said of its limit; null where it never named one. */
+  /**
+   * The newest limit that the replica announced; null if it never announced
+   * one.
+   */
   get limit(): NamedLimit | null {
     return this.#limit;
   }
 
-  /** Requests a second that it takes from all instances; null for no limit. */
+  /**
+   * Requests per second that the replica accepts from all instances; null for
+   * no limit.
+   */
   get limitPerS(): number | null {
     return this.#limit?.perS ?? null;
   }
 
   /**
-   * Takes in what the replica says of its limit, if that is newer.
+   * Records the limit that the replica announced, if it is newer.
    *
-   * A replica that never named one has none; the end of a limit keeps its moment.
+   * The absence of a limit is recorded only after a limit was announced. The
+   * end of a limit is kept with its time, so that older announcements don't
+   * override it.
    */
   onLimit(limit: NamedLimit): void {
     const known = this.#limit;
@@ -265,7 +301,12 @@
     }
   }
 
-  /** Notes the first byte of an attempt, for those that were sent before it. */
+  /**
+   * Records that an attempt received its first byte, and counts it as
+   * overtaking every earlier attempt that is still waiting and no more urgent.
+   *
+   * @param first - attempt that received its first byte
+   */
   onFirstByte(first: GatewayAttempt): void {
     [...this.attempts]
       .filter(
@@ -277,35 +318,44 @@
       });
   }
 
-  /** Takes in the time between two pieces of one stream. */
-  onPause(pauseMs: number): void {
-    this.paceMs += PACE_WEIGHT * (pauseMs - this.paceMs);
+  /**
+   * Records the time between two events of one stream.
+   *
+   * @param pauseMs - the interval, in milliseconds
+   */
+  onEventInterval(pauseMs: number): void {
+    this.paceMs += EVENT_INTERVAL_WEIGHT * (pauseMs - this.paceMs);
   }
 
   /**
-   * Took against predicted time, smoothed; 1 is usual for the service.
+   * Returns the smoothed ratio of measured to predicted latency; 1 is as
+   * predicted.
    *
-   * Each priority has its own: less urgent requests take longer than predicted
-   * since urgent ones overtake them, which says nothing of what urgent ones wait.
+   * Ratios are kept per priority. Less urgent requests take longer than
+   * predicted because urgent ones overtake them, which says nothing about the
+   * wait of urgent requests.
    *
-   * @param priority - of the requests, 0 first
+   * @param priority - position of the requests in the priority order, 0 first
    */
   slownessFor(priority: number): number {
-    return this.#slowness.get(priority) ?? 1;
+    return this.#latencyRatios.get(priority) ?? 1;
   }
 
   /**
-   * Takes in how long something took against what was predicted.
+   * Records a measured latency together with its prediction.
    *
-   * @param priority - of the request
-   * @param tookMs - from sending
-   * @param predictedMs - the same as it was expected
+   * @param priority - position of the request in the priority order, 0 first
+   * @param tookMs - measured time since the request was sent, in milliseconds
+   * @param predictedMs - predicted value of the same time, in milliseconds
    */
   onDuration(priority: number, tookMs: number, predictedMs: number): void {
     const ratio = tookMs / Math.max(1, predictedMs);
-    const bounded = Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, ratio));
+    const bounded = Math.min(
+      MAX_LATENCY_RATIO,
+      Math.max(MIN_LATENCY_RATIO, ratio),
+    );
     const before = this.slownessFor(priority);
-    const after = before + SLOWNESS_WEIGHT * (bounded - before);
-    this.#slowness.set(priority, after);
+    const after = before + LATENCY_RATIO_WEIGHT * (bounded - before);
+    this.#latencyRatios.set(priority, after);
   }
 }
--- a/packages/decisions/src/gateway/ConfigurationHistory.ts
+++ b/packages/decisions/src/gateway/ConfigurationHistory.ts
@@ -2,85 +2,93 @@
 
 import type { Clock } from '../blackboard/Blackboard.js';
 import type { ConfigurationChanges } from './configurationChanges.js';
-import { applyChanges, changesBetween } from './configurationChanges.js';
+import { applyChanges, diffConfigurations } from './configurationChanges.js';
 
 /**
- * Changes that are kept. One that comes back after a longer time gets the whole; at
- * three changes a second these are ten seconds.
+ * Number of changes that are kept. An instance that is further behind receives
+ * the whole configuration; at three changes per second, 32 changes cover ten
+ * seconds.
  */
-const MAX_KEPT = 32;
+const MAX_ENTRIES = 32;
 
-interface KeptChanges {
+interface HistoryEntry {
   readonly changes: ConfigurationChanges;
-  /** On the local clock. */
+  /** Time at which the change was recorded, on the local clock. */
   readonly atMs: number;
 }
 
-/** The newest changes of the configuration, for instances that know an earlier one. */
+/**
+ * Keeps the newest configuration changes, to update instances that have an
+ * earlier version.
+ */
 export class ConfigurationHistory {
-  #kept: readonly KeptChanges[] = [];
+  #entries: readonly HistoryEntry[] = [];
 
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Takes note of a configuration that replaces another one.
+   * Records a configuration that replaces another one.
    *
-   * @param before - null where none was known
-   * @param after - the new one
-   * @returns the new one, with what has not changed shared between both
+   * @param before - the replaced configuration; null for the first one
+   * @param after - the new configuration
+   * @returns the new configuration, sharing unchanged items with the replaced
+   *   one
    */
-  follow(
+  record(
     before: RoutingConfiguration | null,
     after: RoutingConfiguration,
   ): RoutingConfiguration {
     if (!before) {
       return after;
     }
-    const changes = changesBetween(before, after);
+    const changes = diffConfigurations(before, after);
     const kept = { changes, atMs: this.clock() };
-    this.#kept = [...this.#kept, kept].slice(-MAX_KEPT);
+    this.#entries = [...this.#entries, kept].slice(-MAX_ENTRIES);
     return applyChanges(before, changes);
   }
 
   /**
-   * The changes since an earlier version.
+   * Returns the changes since an earlier version.
    *
-   * @param version - that another instance knows
-   * @returns oldest first; null where they are not kept, or that version never was
+   * @param version - version that another instance has
+   * @returns the changes, oldest first; null if the version is unknown or its
+   *   changes are no longer kept
    */
   since(version: number): readonly ConfigurationChanges[] | null {
-    const first = this.#kept.findIndex(
+    const first = this.#entries.findIndex(
       ({ changes }) => changes.from === version,
     );
     return first < 0
       ? null
-      : this.#kept.slice(first).map(({ changes }) => changes);
+      : this.#entries.slice(first).map(({ changes }) => changes);
   }
 
   /**
-   * The changes that came within some time, oldest first.
+   * Returns the changes recorded within a period before now, oldest first.
    *
-   * @param ms - before now
+   * @param ms - length of the period, in milliseconds
    */
   newest(ms: number): readonly ConfigurationChanges[] {
     const fromMs = this.clock() - ms;
-    return this.#kept
+    return this.#entries
       .filter(({ atMs }) => atMs >= fromMs)
       .map(({ changes }) => changes);
   }
 }
 
 /**
- * Makes the newest configuration that changes lead to.
+ * Applies a sequence of changes to a configuration.
  *
- * @param known - the configuration that is known
- * @param told - changes of another instance, oldest first
- * @returns the newest; null where none of the changes is from the one that is known
+ * @param known - configuration to start from
+ * @param changes - changes received from another instance, oldest first; those
+ *   before the version of `known` are skipped
+ * @returns the resulting configuration; null if no change starts at the version
+ *   of `known`
  */
 export function followChanges(
   known: RoutingConfiguration,
-  told: readonly ConfigurationChanges[],
+  changes: readonly ConfigurationChanges[],
 ): RoutingConfiguration | null {
-  const first = told.findIndex(({ from }) => from === known.version);
-  return first < 0 ? null : told.slice(first).reduce(applyChanges, known);
+  const first = changes.findIndex(({ from }) => from === known.version);
+  return first < 0 ? null : changes.slice(first).reduce(applyChanges, known);
 }
--- a/packages/decisions/src/gateway/DemandRate.ts
+++ b/packages/decisions/src/gateway/DemandRate.ts
@@ -1,17 +1,18 @@
 import type { Clock } from '../blackboard/Blackboard.js';
 
 /**
- * Smoothed amount per millisecond, with exponential decay.
+ * Rate of an amount per millisecond, smoothed by exponential decay.
  *
- * The time constant says how long an amount counts.
+ * The time constant determines how long an amount contributes to the rate.
  */
 export class DemandRate {
   #sum = 0;
   #atMs: number;
 
   /**
-   * @param clock - the local steady clock
-   * @param timeConstantMs - time in which an old amount falls to 37 in 100
+   * @param clock - the local monotonic clock
+   * @param timeConstantMs - time in which the contribution of an amount falls
+   *   to 37 %
    */
   constructor(
     private readonly clock: Clock,
@@ -20,7 +21,7 @@
     this.#atMs = clock();
   }
 
-  /** Smoothed amount per millisecond. */
+  /** Current rate per millisecond. */
   get perMs(): number {
     this.#decay();
     return this.#sum / this.timeConstantMs;
--- a/packages/decisions/src/gateway/EngineEstimator.ts
+++ b/packages/decisions/src/gateway/EngineEstimator.ts
@@ -1,117 +1,133 @@
-/** Weight of the newest sample. */
+/** Smoothing factor of the reading rate and of the base time. */
 const SAMPLE_WEIGHT = 0.05;
-/** Tokens a millisecond assumed before anything was seen; a cautious figure for large models. */
-const PRIOR_TOKENS_PER_MS = 60;
+/** Initial reading rate; a conservative value for large models. */
+const INITIAL_TOKENS_PER_MS = 60;
 const MIN_TOKENS_PER_MS = 5;
 const MAX_TOKENS_PER_MS = 1000;
-/** Time to a first event without any prompt to read, assumed at first. */
-const PRIOR_BASE_MS = 40;
-/** Part of the earlier sums that counts on with each sample; some forty count. */
-const QUEUE_KEPT = 0.975;
-/** Weight of the rate assumed at first, as time over which it was seen. */
-const PRIOR_QUEUE_MS = 200;
-/** Weight of the newest deferred request in how much such are overtaken. */
-const STRETCH_WEIGHT = 0.1;
-const MAX_STRETCH = 6;
-/** Samples with at least this many tokens say something about the rate. */
-const RATE_SAMPLE_TOKENS = 3000;
-/** Samples with at most this many say something about the base. */
-const BASE_SAMPLE_TOKENS = 1000;
+/** Initial time to the first event without a prompt to read. */
+const INITIAL_BASE_MS = 40;
+/** Decay of the sums with each sample; about forty samples contribute. */
+const QUEUE_DECAY = 0.975;
+/** Weight of the initial rate in the sums, as the time over which it counts. */
+const INITIAL_QUEUE_MS = 200;
+/** Smoothing factor of the delay factor of deferred requests. */
+const DELAY_FACTOR_WEIGHT = 0.1;
+const MAX_DELAY_FACTOR = 6;
+/** Smallest number of tokens in a sample that is used to estimate the rate. */
+const MIN_RATE_SAMPLE_TOKENS = 3000;
+/**
+ * Largest number of tokens in a sample that is used to estimate the base time.
+ */
+const MAX_BASE_SAMPLE_TOKENS = 1000;
 
-/** What the queue of one priority has been like. */
+/** Decayed sums over the requests of one priority. */
 interface QueueHistory {
-  /** Tokens that requests had to wait for, their own included. */
+  /** Tokens that requests waited for, their own included. */
   tokens: number;
-  /** Time that they waited. */
+  /** Time that they waited, in milliseconds. */
   ms: number;
-  /** Time that a deferred request took against what was ahead of it at first. */
-  deferredStretch: number;
+  /**
+   * Smoothed ratio of the wait of deferred requests to the wait that the tokens
+   * ahead of them accounted for when they were sent.
+   */
+  deferredDelayFactor: number;
 }
 
 /**
  * Learns how fast the engines of one service read prompts.
  *
- * The rate is learnt from the same figures from which waits are predicted,
- * tokens ahead of a request against its time to the first event, so errors that
- * both share cancel out.
+ * The rate is estimated from the same quantities that predictions use, the
+ * tokens ahead of a request and its time to the first event, so that errors
+ * common to both cancel out.
  */
 export class EngineEstimator {
-  #tokensPerMs = PRIOR_TOKENS_PER_MS;
+  #tokensPerMs = INITIAL_TOKENS_PER_MS;
   readonly #queues = new Map<number, QueueHistory>();
-  #baseMs = PRIOR_BASE_MS;
+  #baseMs = INITIAL_BASE_MS;
 
-  /** Prompt tokens that one engine reads in a millisecond. */
+  /**
+   * Prompt tokens that one engine reads per millisecond, as a mean over
+   * samples.
+   */
   get tokensPerMs(): number {
     return this.#tokensPerMs;
   }
 
   /**
-   * Prompt tokens that an engine gets through in a millisecond while others wait.
+   * Returns the prompt tokens that an engine reads per millisecond while
+   * requests queue.
    *
-   * All tokens over all time, unlike the mean of rates above, in which the many
-   * short waits of light load count as much as the few long ones: it was half as
-   * high again as what requests then met in a burst.
+   * This is the total of tokens divided by the total of time, unlike the mean
+   * of rates in `tokensPerMs`, where the many short waits under light load
+   * count as much as the few long ones: in a burst, the mean of rates was 50 %
+   * higher than the rate that requests met.
    *
-   * Each priority has its own: less urgent requests are overtaken while they wait,
-   * so the same tokens take them longer. In one figure their waits made urgent
-   * requests seem late that were not, which put them behind others or refused them.
+   * Rates are kept per priority. Less urgent requests are overtaken while they
+   * wait, so the same number of tokens takes them longer. In a common rate,
+   * their waits made urgent requests seem late, which demoted or rejected
+   * requests that would have been on time.
    *
-   * @param priority - of the requests that wait, 0 first
+   * @param priority - position of the waiting requests in the priority order, 0
+   *   first
    */
   queueTokensPerMs(priority: number): number {
     const { tokens, ms } = this.#queueOf(priority);
     return tokens / ms;
   }
 
-  /** Time to a first event when nothing has to be read, in milliseconds. */
+  /** Time to the first event when no prompt has to be read, in milliseconds. */
   get baseMs(): number {
     return this.#baseMs;
   }
 
   /**
-   * Time that a deferred request took against what was ahead of it at first.
+   * Returns by what factor deferred requests wait longer than the tokens ahead
+   * of them accounted for when they were sent.
    *
-   * @param priority - of the request
+   * @param priority - position of the request in the priority order, 0 first
    */
-  deferredStretch(priority: number): number {
-    return this.#queueOf(priority).deferredStretch;
+  deferredDelayFactor(priority: number): number {
+    return this.#queueOf(priority).deferredDelayFactor;
   }
 
   /**
-   * Takes in how long a deferred request has waited for its first event, or until
-   * it was given up.
+   * Records how long a deferred request waited for its first event, or until it
+   * was abandoned.
    *
-   * @param priority - of the request
-   * @param tookMs - from sending
-   * @param aheadMs - that what was ahead of it would have taken
+   * @param priority - position of the request in the priority order, 0 first
+   * @param tookMs - time since the request was sent, in milliseconds
+   * @param aheadMs - predicted time to read the tokens that were ahead of it,
+   *   in milliseconds
    */
-  onDeferred(priority: number, tookMs: number, aheadMs: number): void {
+  onDeferredWait(priority: number, tookMs: number, aheadMs: number): void {
     const ratio = tookMs / Math.max(1, aheadMs);
-    const bounded = Math.min(MAX_STRETCH, Math.max(1, ratio));
+    const bounded = Math.min(MAX_DELAY_FACTOR, Math.max(1, ratio));
     const queue = this.#queueOf(priority);
-    queue.deferredStretch += STRETCH_WEIGHT * (bounded - queue.deferredStretch);
+    queue.deferredDelayFactor +=
+      DELAY_FACTOR_WEIGHT * (bounded - queue.deferredDelayFactor);
   }
 
   /**
-   * Takes in one first event.
+   * Records the time to the first event of a request.
    *
-   * @param priority - of the request
-   * @param tokens - that were to be read at the replica up to this request's end
-   * @param tookMs - from sending to the first event
+   * @param priority - position of the request in the priority order, 0 first
+   * @param tokens - prompt tokens read at the replica up to the end of this
+   *   prompt
+   * @param tookMs - time from sending to the first event, in milliseconds
    */
   onFirstEvent(priority: number, tokens: number, tookMs: number): void {
-    if (tokens <= BASE_SAMPLE_TOKENS) {
+    if (tokens <= MAX_BASE_SAMPLE_TOKENS) {
       const baseMs = Math.max(0, tookMs - tokens / this.#tokensPerMs);
       this.#baseMs += SAMPLE_WEIGHT * (baseMs - this.#baseMs);
       return;
     }
-    if (tokens < RATE_SAMPLE_TOKENS) {
+    if (tokens < MIN_RATE_SAMPLE_TOKENS) {
       return;
     }
     const readMs = Math.max(1, tookMs - this.#baseMs);
     const queue = this.#queueOf(priority);
-    queue.tokens = QUEUE_KEPT * queue.tokens + tokens;
-    queue.ms = QUEUE_KEPT * queue.ms + readMs;
+    queue.tokens = QUEUE_DECAY * queue.tokens + tokens;
+    queue.ms = QUEUE_DECAY * queue.ms + readMs;
     const rate = tokens / readMs;
     const bounded = Math.min(
       MAX_TOKENS_PER_MS,
@@ -126,9 +142,9 @@
       return known;
     }
     const queue = {
-      tokens: PRIOR_TOKENS_PER_MS * PRIOR_QUEUE_MS,
-      ms: PRIOR_QUEUE_MS,
-      deferredStretch: 1,
+      tokens: INITIAL_TOKENS_PER_MS * INITIAL_QUEUE_MS,
+      ms: INITIAL_QUEUE_MS,
+      deferredDelayFactor: 1,
     };
     this.#queues.set(priority, queue);
     return queue;
--- a/packages/decisions/src/gateway/GatewayBoard.ts
+++ b/packages/decisions/src/gateway/GatewayBoard.ts
@@ -18,31 +18,36 @@
 import { ReplicaRegistry } from './ReplicaRegistry.js';
 import type { RetryBudgetRules } from './RetryBudget.js';
 import { RetryBudget } from './RetryBudget.js';
-import { DemandBook } from './RouteDemand.js';
+import { DemandTracker } from './RouteDemand.js';
 import type { RoutingTable } from './RoutingTable.js';
 import { StoreClock } from './StoreClock.js';
 
-/** What is fixed for one instance of the gateway. */
+/**
+ * Settings and dependencies that are fixed for the lifetime of one instance.
+ */
 export interface GatewayBoardOptions {
   readonly clock: Clock;
   readonly random: () => number;
   readonly instance: InstanceId;
   readonly failureDomain: FailureDomainId;
   readonly retryBudget: RetryBudgetRules;
-  /** Null or absent where there are no duties that one instance does for all. */
+  /**
+   * Settings of duties, which one instance performs for all; null or absent for
+   * none.
+   */
   readonly duties?: DutySettings | null;
-  /** Time of day in Unix milliseconds. */
+  /** Wall-clock time in Unix milliseconds. */
   readonly timeOfDay?: () => number;
 }
 
-/** Learnt figures of one service. */
-export interface ServiceLearning {
+/** Quantities estimated for one service from observed answers. */
+export interface ServiceEstimates {
   readonly engine: EngineEstimator;
-  /** Mean time of an answer of a plain service, in milliseconds. */
+  /** Mean time to a whole answer of a plain service, in milliseconds. */
   answerMs: number;
 }
 
-/** The state that the gateway's controllers read and write. */
+/** Shared state (blackboard) that the gateway's controllers read and write. */
 export interface GatewayBoard {
   readonly clock: Clock;
   readonly random: () => number;
@@ -51,37 +56,48 @@
   readonly budget: RetryBudget;
   readonly crashes: CrashLedger;
   readonly limits: ReplicaLimits;
-  readonly demand: DemandBook;
+  readonly demand: DemandTracker;
   readonly lengths: AnswerLengths;
   readonly retryGain: RetryGain;
   readonly storeClock: StoreClock;
   readonly replicas: ReplicaRegistry;
-  /** Null where there are no duties that one instance does for all. */
+  /**
+   * State of the duties, which one instance performs for all; null for none.
+   */
   readonly duties: DutyBoard | null;
-  /** Replicas that are used or still have attempts. */
+  /** Load of each replica that is in use or still has attempts. */
   readonly backends: Map<BackendServerId, BackendLoad>;
-  /** Earlier runs of replicas that started again, until their attempts are taken. */
-  readonly earlierRuns: Set<BackendLoad>;
-  readonly learning: Map<ServiceId, ServiceLearning>;
+  /**
+   * Loads of runs that a restart of their replica has superseded, kept until
+   * their attempts have been withdrawn.
+   */
+  readonly supersededRuns: Set<BackendLoad>;
+  readonly estimates: Map<ServiceId, ServiceEstimates>;
   readonly configurations: ConfigurationHistory;
-  /** Null until a configuration is known. */
+  /** Look-up tables of the configuration in force; null until one is known. */
   table: RoutingTable | null;
-  /** When the configuration was last known to be the newest, on the store's clock. */
+  /**
+   * When the configuration was last known to be the newest, on the store's
+   * clock.
+   */
   configurationAsOfMs: number;
-  /** When the newest view that another instance told of was current, on that clock. */
+  /**
+   * When the newest view reported by another instance was current, on the
+   * store's clock.
+   */
   othersAsOfMs: number;
-  /** Live instances, this one included. */
+  /** Number of live instances, including this one. */
   instances: number;
 }
 
-/** Assumed before anything was seen. */
-const PRIOR_ANSWER_MS = 100;
+/** Mean answer time assumed before any answer was observed. */
+const INITIAL_ANSWER_MS = 100;
 
 /**
- * Creates an empty blackboard.
+ * Creates a blackboard without configuration and replicas.
  *
- * @param options - clock, random source and identity
- * @returns a board without configuration and replicas
+ * @param options - clocks, random source, identity and rules of the instance
+ * @returns the blackboard
  */
 export function createGatewayBoard(options: GatewayBoardOptions): GatewayBoard {
   const { clock, random, instance, failureDomain, retryBudget } = options;
@@ -96,15 +112,15 @@
     budget: new RetryBudget(retryBudget, clock),
     crashes: new CrashLedger(clock),
     limits: new ReplicaLimits({ instance, clock, replicas }),
-    demand: new DemandBook(clock),
+    demand: new DemandTracker(clock),
     lengths: new AnswerLengths(),
     retryGain: new RetryGain(),
     storeClock,
     replicas,
     duties: settings && createDutyBoard({ settings, storeClock, timeOfDay }),
     backends: new Map(),
-    earlierRuns: new Set(),
-    learning: new Map(),
+    supersededRuns: new Set(),
+    estimates: new Map(),
     configurations: new ConfigurationHistory(clock),
     table: null,
     configurationAsOfMs: -Infinity,
@@ -113,24 +129,34 @@
   };
 }
 
-/** @returns what was learnt of a service, started anew where nothing was */
+/**
+ * Returns the estimates for a service, creating initial ones if there are none.
+ *
+ * @param board - the blackboard
+ * @param service - id of the service
+ */
 export function learningOf(
   board: GatewayBoard,
   service: ServiceId,
-): ServiceLearning {
-  const known = board.learning.get(service);
+): ServiceEstimates {
+  const known = board.estimates.get(service);
   if (known) {
     return known;
   }
-  const learning: ServiceLearning = {
+  const estimates: ServiceEstimates = {
     engine: new EngineEstimator(),
-    answerMs: PRIOR_ANSWER_MS,
+    answerMs: INITIAL_ANSWER_MS,
   };
-  board.learning.set(service, learning);
-  return learning;
+  board.estimates.set(service, estimates);
+  return estimates;
 }
 
-/** @returns the loads of a service's replicas that exist and are not leaving */
+/**
+ * Returns the loads of a service's registered replicas that are not leaving.
+ *
+ * @param board - the blackboard
+ * @param service - id of the service
+ */
 export function candidatesOf(
   board: GatewayBoard,
   service: ServiceId,
--- a/packages/decisions/src/gateway/GatewayRouter.ts
+++ b/packages/decisions/src/gateway/GatewayRouter.ts
@@ -9,19 +9,19 @@
 
 import { CAUTIOUS_CRASHES } from './crashes/CrashLedger.js';
 import { crashesOf, isBarred } from './crashes/crashesOf.js';
-import { beginAttempt, noteBytes, noteEnd } from './attemptNotes.js';
+import { beginAttempt, recordBytes, recordEnd } from './attemptLifecycle.js';
 import type {
   GatewayAttempt,
   GatewayRequest,
   ReportedLoad,
 } from './BackendLoad.js';
 import { BackendLoad } from './BackendLoad.js';
-import { FirstTries } from './FirstTries.js';
+import { CallerRetryDetector } from './CallerRetryDetector.js';
 import type { GatewayBoard } from './GatewayBoard.js';
 import type { Match } from './matchRequest.js';
 import { matchRequest } from './matchRequest.js';
-import type { HeardReport, OwnUse, PeerWork } from './PeerWorkBook.js';
-import { PeerWorkBook } from './PeerWorkBook.js';
+import type { HeardReport, OwnUse, PeerWork } from './PeerLoadTracker.js';
+import { PeerLoadTracker } from './PeerLoadTracker.js';
 import type { PlacedCandidate } from './placement/PlacementPolicy.js';
 import type { GatewayPolicies, PlacementDecision } from './placeRequest.js';
 import { placeRequest } from './placeRequest.js';
@@ -29,30 +29,31 @@
 import type { RecoveryFacts } from './recovery/decideRecovery.js';
 import { decideRecovery } from './recovery/decideRecovery.js';
 import { isLaterRun } from './replicaRuns.js';
-import { isSilent } from './usableCandidates.js';
+import { shouldMoveElsewhere } from './usableCandidates.js';
 import { RoutingTable } from './RoutingTable.js';
 
 /**
- * The decision logic of the gateway on its blackboard.
+ * The decision logic of the gateway, operating on its blackboard.
  *
- * A host asks it where requests go and tells it what became of them. It does no
- * input or output and sets no timers.
+ * The host asks it where to send requests and reports what became of them. It
+ * performs no I/O and sets no timers.
  */
 export class GatewayRouter {
-  readonly #firstTries = new Map<RouteId, FirstTries>();
-  readonly #peerWork: PeerWorkBook;
+  readonly #retryDetectors = new Map<RouteId, CallerRetryDetector>();
+  readonly #peerLoad: PeerLoadTracker;
 
   constructor(
     readonly board: GatewayBoard,
     private readonly policies: GatewayPolicies,
   ) {
-    this.#peerWork = new PeerWorkBook(board);
+    this.#peerLoad = new PeerLoadTracker(board);
   }
 
   /**
-   * Puts a configuration in force unless a newer one is.
+   * Applies a configuration unless the one in force is as new or newer.
    *
-   * @returns whether it is newer than the one before
+   * @param cfg - the configuration
+   * @returns whether it was applied
    */
   configure(cfg: RoutingConfiguration): boolean {
     const { board } = this;
@@ -60,11 +61,14 @@
     if (known && cfg.version <= known.version) {
       return false;
     }
-    board.table = new RoutingTable(board.configurations.follow(known, cfg));
+    board.table = new RoutingTable(board.configurations.record(known, cfg));
     return true;
   }
 
-  /** Takes over the replicas of the registry. */
+  /**
+   * Updates the loads from the replica registry and drops those of replicas
+   * that are gone and have no attempts.
+   */
   syncReplicas(): void {
     const { replicas, backends } = this.board;
     replicas.replicas.forEach(replica => {
@@ -79,59 +83,65 @@
   }
 
   /**
-   * Takes over one replica; a run that started again begins with a load of its own.
+   * Updates one replica. After a restart it gets a new load with no history.
    *
-   * Guards against taking what is known of the run before for the new one's: it
-   * shows as prompts sent for a cache that is empty now, and as a sound replica
-   * that is avoided for the failures of its crash.
+   * Otherwise, the state of the previous run would be attributed to the new
+   * one: prompts would be sent there for a cache that is now empty, and a
+   * healthy replica would be avoided because of the failures of the crash.
    */
   #syncReplica(replica: Replica): void {
-    const { backends, earlierRuns, table, clock } = this.board;
+    const { backends, supersededRuns, table, clock } = this.board;
     const load = backends.get(replica.id);
     if (load && !isLaterRun(replica, load.replica)) {
       load.replica = replica;
       return;
     }
     if (load) {
-      earlierRuns.add(load);
+      supersededRuns.add(load);
     }
     const service = table?.service(replica.service);
     backends.set(replica.id, new BackendLoad(replica, service, clock));
   }
 
   /**
-   * Finds route, service and organisation of a request.
+   * Resolves the route, service and organisation of a request.
    *
-   * @param host - host that the caller named
-   * @param path - without query
-   * @param key - the caller's key; null where there is none
+   * @param host - host named by the caller
+   * @param path - path without the query
+   * @param key - API key of the caller; null if there is none
+   * @returns the match, or the code of the rejection
    */
   match(host: string, path: string, key: string | null): Match {
     return matchRequest(this.board, host, path, key);
   }
 
   /**
-   * Whether a caller seems to come back after a refusal.
+   * Records a request and determines whether it seems to be a retry of a
+   * rejected one.
    *
-   * @param route - of the request
-   * @param timeLeftMs - as the caller said
+   * @param route - route of the request
+   * @param timeLeftMs - time until the caller's deadline, in milliseconds
    */
   cameBack(route: Route, timeLeftMs: number): boolean {
-    const tries = this.#firstTries.get(route.id) ?? new FirstTries();
-    this.#firstTries.set(route.id, tries);
-    return tries.isSecond(timeLeftMs);
+    const detector =
+      this.#retryDetectors.get(route.id) ?? new CallerRetryDetector();
+    this.#retryDetectors.set(route.id, detector);
+    return detector.observe(timeLeftMs);
   }
 
-  /** Notes a caller's request, whatever becomes of it. */
+  /**
+   * Counts a caller's request towards the retry budget, whatever its outcome.
+   */
   onRequest(request: GatewayRequest): void {
     this.board.budget.onRequest(request.service.id);
   }
 
   /**
-   * Decides where a request goes.
+   * Decides which replica gets a request.
    *
    * @param request - the request
-   * @param tried - replicas that it was sent to before
+   * @param tried - replicas that the request was already sent to
+   * @returns the chosen replica, or why the request is rejected
    */
   place(
     request: GatewayRequest,
@@ -141,12 +151,14 @@
   }
 
   /**
-   * Notes that a request is being sent to a replica.
+   * Records that a request is being sent to a replica.
    *
    * @param request - the request
-   * @param placed - where it goes
-   * @param number - of the attempt, 1 for the first
-   * @param sentNumber - the same, counting only those that left this instance
+   * @param placed - the chosen replica
+   * @param number - number of the attempt, 1 for the first
+   * @param sentNumber - the same, counting only attempts that left this
+   *   instance
+   * @returns the attempt
    */
   begin(
     request: GatewayRequest,
@@ -158,10 +170,11 @@
   }
 
   /**
-   * Whether the replica of an attempt may still get it, before anything was sent.
+   * Whether the request of an attempt may still be sent to its replica. To be
+   * called before any byte is sent.
    *
-   * @returns false once the replica leaves, is gone, or has started again, and where the
-   *   request has crashed others meanwhile
+   * @returns false once the replica is leaving, gone or restarted, or the
+   *   request is barred because its content has crashed other replicas
    */
   mayReceive({ load, request }: GatewayAttempt): boolean {
     const { id } = load.replica;
@@ -174,36 +187,43 @@
   }
 
   /**
-   * Notes bytes of an answer.
+   * Records that bytes of an answer arrived.
    *
-   * @param attempt - that they answer
-   * @param hasRun - whether the answer bears the mark of a run
+   * @param attempt - the attempt that they answer
+   * @param hasRun - whether the answer is marked as coming from a run of the
+   *   request
    */
   onBytes(attempt: GatewayAttempt, hasRun = true): void {
-    noteBytes(this.board, attempt, hasRun);
+    recordBytes(this.board, attempt, hasRun);
   }
 
-  /** Notes the load that a replica told with an answer. */
+  /** Records the load that a replica reported with an answer. */
   onReported(attempt: GatewayAttempt, reported: ReportedLoad): void {
     attempt.load.onReported(reported);
   }
 
   /**
-   * Notes the limit that a replica named with an answer.
+   * Records the limit that a replica announced with an answer.
    *
-   * @param attempt - that it answers
-   * @param perS - requests a second from all instances; null where it named none
+   * @param attempt - the answered attempt
+   * @param perS - requests per second from all instances; null for no limit
    */
   onLimit({ load }: GatewayAttempt, perS: number | null): void {
     this.board.limits.onAnswer(load, { perS, atMs: this.board.clock() });
   }
 
-  /** Notes how an attempt ended. */
+  /** Records how an attempt ended. */
   onEnded(attempt: GatewayAttempt, result: AttemptResult): void {
-    noteEnd(this.board, attempt, result);
+    recordEnd(this.board, attempt, result);
   }
 
-  /** Decides what follows an attempt that gave no answer for the caller. */
+  /**
+   * Decides how to proceed after an attempt that gave no answer for the caller.
+   *
+   * @param request - the request
+   * @param result - how the attempt ended
+   * @param counts - the attempts so far
+   */
   recover(
     request: GatewayRequest,
     result: AttemptResult,
@@ -220,14 +240,22 @@
     });
   }
 
-  /** Attempts that should go on elsewhere, since their replica fell silent. */
+  /**
+   * Returns the attempts to be continued on another replica because theirs has
+   * become unresponsive or has lost the answer.
+   */
   findSilent(): readonly GatewayAttempt[] {
     return [...this.board.backends.values()].flatMap(load =>
-      [...load.attempts].filter(attempt => isSilent(this.board, attempt)),
+      [...load.attempts].filter(attempt =>
+        shouldMoveElsewhere(this.board, attempt),
+      ),
     );
   }
 
-  /** Attempts that may yet crash their replica, as the same content has crashed others. */
+  /**
+   * Returns the attempts without a first byte whose content has crashed several
+   * other replicas and may crash this one.
+   */
   findBarred(): readonly GatewayAttempt[] {
     if (this.board.crashes.barred.length === 0) {
       return [];
@@ -241,19 +269,23 @@
   }
 
   /**
-   * Attempts at runs of replicas that have ended since.
+   * Returns the attempts on runs that have since been superseded by a restart,
+   * each of them once.
    *
-   * Guards against waiting for an answer that can't come any more: a replica that
-   * crashed without a sign leaves its connections open, and answers others.
+   * They would otherwise wait for answers that can no longer arrive: a replica
+   * that crashes without closing its connections leaves them open, and since it
+   * answers other requests after the restart it does not look unresponsive.
    */
   takeOrphans(): readonly GatewayAttempt[] {
-    const { earlierRuns } = this.board;
-    const orphans = [...earlierRuns].flatMap(({ attempts }) => [...attempts]);
-    earlierRuns.clear();
+    const { supersededRuns } = this.board;
+    const orphans = [...supersededRuns].flatMap(({ attempts }) => [
+      ...attempts,
+    ]);
+    supersededRuns.clear();
     return orphans;
   }
 
-  /** Attempts of this instance that have not ended. */
+  /** Number of attempts of this instance that have not ended. */
   get inFlight(): number {
     return [...this.board.backends.values()].reduce(
       (sum, { inFlight }) => sum + inFlight,
@@ -261,7 +293,7 @@
     );
   }
 
-  /** What this instance runs, for the others. */
+  /** This instance's use of each replica, to be sent to other instances. */
   get ownUses(): readonly OwnUse[] {
     return [...this.board.backends.values()]
       .filter(({ inFlight }) => inFlight > 0)
@@ -274,11 +306,12 @@
   }
 
   /**
-   * The newest loads that replicas told, for the others.
+   * The newest load report of each replica, to be sent to other instances.
    *
-   * In a large fleet an instance has an answer from a given replica every few
-   * seconds; all of them together have one several times a second. Handed on,
-   * everybody knows how full each replica is within a second.
+   * In a large fleet, one instance gets an answer from a given replica only
+   * every few seconds, but all instances together get several per second. By
+   * relaying the reports, every instance knows the load of each replica within
+   * a second.
    */
   get heardReports(): readonly HeardReport[] {
     const nowMs = this.board.clock();
@@ -291,16 +324,16 @@
     });
   }
 
-  /** Takes in what another instance runs and has heard. */
+  /** Records the work and the load reports that another instance sent. */
   onPeerWork(peer: InstanceId, work: PeerWork): void {
-    this.#peerWork.onWork(peer, work);
+    this.#peerLoad.onPeerLoad(peer, work);
   }
 
-  /** Tells how many instances live. */
+  /** Updates the set of live instances. */
   onInstances(live: readonly InstanceId[]): void {
     this.board.instances = Math.max(1, live.length);
     this.board.budget.onInstances(this.board.instances);
     this.board.limits.onInstances(live);
-    this.#peerWork.keepOnly(live);
+    this.#peerLoad.retainPeers(live);
   }
 }
--- a/packages/decisions/src/gateway/PeerWorkBook.ts
+++ b/packages/decisions/src/gateway/PeerLoadTracker.ts
@@ -7,106 +7,120 @@
 import { isSameRun } from './replicaRuns.js';
 import type { RouteDemand } from './RouteDemand.js';
 
-/** One run of a replica. */
+/** One run of a replica, from its start to its end. */
 interface ReplicaRun {
   readonly id: BackendServerId;
-  /** Its start in Unix milliseconds; null where that is unknown. */
+  /** Start of the run in Unix milliseconds; null if unknown. */
   readonly bornMs: number | null;
 }
 
-/** What one instance tells the others of its use of a replica. */
+/** One instance's use of a replica, as reported to the others. */
 export interface OwnUse extends PeerUse, ReplicaRun {}
 
-/** Load that a replica told, as one instance hands it on. */
+/** Load reported by a replica, as relayed by another instance. */
 export interface HeardReport extends ReplicaRun {
   readonly total: number;
   readonly ageMs: number;
 }
 
-/** What another instance told of its work. */
+/** Work and load reports received from another instance. */
 export interface PeerWork {
-  /** The newest report of each replica that it knows of, its own or another's. */
+  /**
+   * The newest report of each replica, received by that instance itself or
+   * relayed.
+   */
   readonly reports: readonly HeardReport[];
   readonly uses: readonly OwnUse[];
   readonly demands: readonly RouteDemand[];
   readonly lengths: readonly SeenLength[];
 }
 
-interface PeerReport extends PeerWork {
+interface ReceivedUpdate extends PeerWork {
   readonly atMs: number;
 }
 
-/** What other instances told counts no longer than this without news. */
-const MAX_AGE_MS = 1500;
+/**
+ * Age from which the report of another instance is ignored, in milliseconds.
+ */
+const MAX_PEER_REPORT_AGE_MS = 1500;
 
-/** Factor up to which the instances that were heard of are nearly all. */
-const MAX_WHOLE_SCALE = 1.5;
+/** Scale factor up to which the instances that reported are nearly all. */
+const MAX_SCALE_OF_FULL_VIEW = 1.5;
 
-/** A sum that grows in place, since it is made anew with every exchange. */
-interface GrowingUse {
+/**
+ * Mutable sum; it is recomputed with every message, so it is built in place.
+ */
+interface MutablePeerUse {
   inFlight: number;
   readonly unreadByRank: number[];
 }
 
-function addScaled(sum: GrowingUse, use: PeerUse, scale: number): void {
+function addScaled(sum: MutablePeerUse, use: PeerUse, scale: number): void {
   sum.inFlight += scale * use.inFlight;
   use.unreadByRank.forEach((tokens, rank) => {
     sum.unreadByRank[rank] = (sum.unreadByRank[rank] ?? 0) + scale * tokens;
   });
 }
 
-/** Keeps what other instances run, and puts the sums on the blackboard. */
-export class PeerWorkBook {
-  readonly #reports = new Map<InstanceId, PeerReport>();
+/**
+ * Keeps the reported work of other instances and writes the totals to the
+ * blackboard.
+ */
+export class PeerLoadTracker {
+  readonly #reports = new Map<InstanceId, ReceivedUpdate>();
 
   constructor(private readonly board: GatewayBoard) {}
 
-  /** Takes in what another instance runs and has heard. */
-  onWork(peer: InstanceId, work: PeerWork): void {
+  /** Records the work and the load reports that another instance sent. */
+  onPeerLoad(peer: InstanceId, work: PeerWork): void {
     work.reports
-      .filter(report => this.#isOfThisRun(report))
+      .filter(report => this.#isCurrentRun(report))
       .forEach(({ id, total, ageMs }) => {
         const atMs = this.board.clock() - ageMs;
         this.board.backends.get(id)?.onPeerReport({ total, atMs });
       });
     this.#reports.set(peer, { atMs: this.board.clock(), ...work });
-    this.#sumUp();
+    this.#aggregate();
   }
 
-  /** Forgets instances that live no longer. */
-  keepOnly(live: readonly InstanceId[]): void {
+  /** Drops the reports of instances that are no longer live. */
+  retainPeers(live: readonly InstanceId[]): void {
     const alive = new Set(live);
     [...this.#reports.keys()]
       .filter(peer => !alive.has(peer))
       .forEach(peer => this.#reports.delete(peer));
-    this.#sumUp();
+    this.#aggregate();
   }
 
-  /** What was told of another run of a replica says nothing of the one known. */
-  #isOfThisRun(run: ReplicaRun): boolean {
+  /**
+   * Whether a report refers to the known run of its replica. Reports of other
+   * runs say nothing about it.
+   */
+  #isCurrentRun(run: ReplicaRun): boolean {
     const load = this.board.backends.get(run.id);
     return load !== undefined && isSameRun(run, load.replica);
   }
 
   /**
-   * Sums up what the others run.
+   * Recomputes the totals over the other instances.
    *
-   * In a large fleet only some of them are heard of in time. Callers pick
-   * instances at random, so those few stand for all: sums are scaled up by how
-   * many there are. Left out, demand seems a fifth of what it is at sixty
-   * instances, and replicas are split and filled for that fifth.
+   * In a large fleet, only some instances have reported recently. Since callers
+   * pick instances at random, these are a representative sample, and their
+   * totals are scaled up to the number of instances. Without scaling, sixty
+   * instances would see a fifth of the actual demand, and would split and fill
+   * the replicas accordingly.
    */
-  #sumUp(): void {
+  #aggregate(): void {
     const { board } = this;
-    const oldestMs = board.clock() - MAX_AGE_MS;
+    const oldestMs = board.clock() - MAX_PEER_REPORT_AGE_MS;
     const reports = [...this.#reports.values()].filter(
       ({ atMs }) => atMs >= oldestMs,
     );
     const scale = (board.instances - 1) / Math.max(1, reports.length);
-    const sums = new Map<BackendServerId, GrowingUse>();
+    const sums = new Map<BackendServerId, MutablePeerUse>();
     reports
       .flatMap(({ uses }) => uses)
-      .filter(use => this.#isOfThisRun(use))
+      .filter(use => this.#isCurrentRun(use))
       .forEach(use => {
         const sum = sums.get(use.id) ?? { inFlight: 0, unreadByRank: [] };
         sums.set(use.id, sum);
@@ -124,7 +138,7 @@
     board.lengths.onPeers(reports.flatMap(({ lengths }) => lengths));
     board.backends.forEach((load, id) => {
       load.peers = sums.get(id) ?? NO_PEER_USE;
-      load.peersAreSample = scale > MAX_WHOLE_SCALE;
+      load.isPeerUseExtrapolated = scale > MAX_SCALE_OF_FULL_VIEW;
     });
   }
 }
--- a/packages/decisions/src/gateway/PriorityOrder.ts
+++ b/packages/decisions/src/gateway/PriorityOrder.ts
@@ -1,19 +1,22 @@
 import type { RoutedOrganisation, Route } from '@jujubecroft/types';
 
-/** What may come to one service. */
+/** Routes and callers that can reach one service. */
 export interface PriorityScope {
   readonly routes: readonly Route[];
   /** Null where callers need no key at all. */
   readonly organisations: readonly RoutedOrganisation[] | null;
 }
 
-/** Requests of one route that have one place in the order. */
+/** Requests of one route that share a position in the priority order. */
 export interface RouteClass {
   readonly route: Route;
   readonly place: number;
 }
 
-/** The route's priority, then the organisation's; 0 goes first in each. */
+/**
+ * Sort key: the route's priority, then the organisation's; 0 sorts first in
+ * both.
+ */
 type PriorityKey = readonly [route: number, organisation: number];
 
 function keyOf(
@@ -23,8 +26,11 @@
   return [route.priority, organisation?.priority ?? route.priority];
 }
 
-/** Callers of a route that differ in priority; null for those without an organisation. */
-function callersOf(
+/**
+ * Returns one caller per distinct priority; null stands for callers without an
+ * organisation.
+ */
+function callersByPriority(
   route: Route,
   organisations: readonly RoutedOrganisation[],
 ): readonly (RoutedOrganisation | null)[] {
@@ -37,22 +43,26 @@
 }
 
 /**
- * The order of urgency among all requests that may come to one service.
+ * Total order of urgency among all requests that can reach one service.
  *
- * The route's priority goes first, and the organisation's decides among routes of
- * one. Guards against live answers that are preempted while long reports run on, since
- * those are of an organisation that goes before others; and, where the organisation's
- * replaced the route's, against routes that all look equally urgent.
+ * Requests are ordered by the priority of their route first, and by that of
+ * their organisation among routes of equal priority. If organisations came
+ * first, live answers would be preempted by long reports of a more important
+ * organisation; if their priority replaced that of the route, all routes of an
+ * organisation would be equally urgent.
  */
 export class PriorityOrder {
-  readonly #places: ReadonlyMap<string, number>;
-  /** What goes before each place. */
+  readonly #positions: ReadonlyMap<string, number>;
+  /** For each position, the classes at more urgent positions. */
   readonly #before: readonly (readonly RouteClass[])[];
 
-  /** @param scope - routes of the service and who may call them */
+  /**
+   * @param scope - routes of the service and the organisations that may call
+   *   them
+   */
   constructor({ routes, organisations }: PriorityScope) {
     const all = routes.flatMap(route =>
-      callersOf(route, organisations ?? []).map(caller => ({
+      callersByPriority(route, organisations ?? []).map(caller => ({
         route,
         key: keyOf(route, caller),
       })),
@@ -61,39 +71,39 @@
     const ordered = [...keys.values()].sort(
       (a, b) => a[0] - b[0] || a[1] - b[1],
     );
-    this.#places = new Map(ordered.map((key, place) => [key.join(), place]));
+    this.#positions = new Map(ordered.map((key, place) => [key.join(), place]));
     const classes = all.map(({ route, key }) => ({
       route,
-      place: this.#places.get(key.join()) ?? this.count,
+      place: this.#positions.get(key.join()) ?? this.count,
     }));
     this.#before = Array.from({ length: ordered.length + 1 }, (_, place) =>
       classes.filter(entry => entry.place < place),
     );
   }
 
-  /** How many different priorities there are. */
+  /** Number of distinct priorities. */
   get count(): number {
-    return this.#places.size;
+    return this.#positions.size;
   }
 
   /**
-   * Tells what goes before a place.
+   * Returns the classes that are more urgent than a position.
    *
-   * @param place - up to the number of places, for all there is
-   * @returns routes with their places
+   * @param place - the position; the number of positions selects all classes
    */
   before(place: number): readonly RouteClass[] {
     return this.#before[place] ?? [];
   }
 
   /**
-   * Finds the place of a request in the order.
+   * Returns the position of a request in the order.
    *
-   * @param route - of the request
-   * @param organisation - of its caller; null on public routes
-   * @returns the place, 0 for the most urgent
+   * @param route - route of the request
+   * @param organisation - organisation of the caller; null on public routes
+   * @returns the position, 0 for the most urgent; for a request that is not in
+   *   the order, a position after all others
    */
-  placeOf(route: Route, organisation: RoutedOrganisation | null): number {
-    return this.#places.get(keyOf(route, organisation).join()) ?? this.count;
+  positionOf(route: Route, organisation: RoutedOrganisation | null): number {
+    return this.#positions.get(keyOf(route, organisation).join()) ?? this.count;
   }
 }
--- a/packages/decisions/src/gateway/PromptMemory.ts
+++ b/packages/decisions/src/gateway/PromptMemory.ts
@@ -1,66 +1,71 @@
 import type { PromptPart } from '@jujubecroft/types';
 
 /**
- * Share of a replica's cache that this instance counts on for its own requests'
- * parts; the others fill the rest.
+ * Share of a replica's cache assumed to hold prompt parts of this instance's
+ * requests; the rest is used by other instances.
  */
-const COUNTED_SHARE = 0.5;
+const OWN_CACHE_SHARE = 0.5;
 
 /**
- * The prompt parts that a replica probably keeps, by what was sent there.
+ * Estimates which prompt parts a replica has cached, from the prompts sent
+ * there.
  *
- * A part is of use only if all parts before it are kept too, so parts are
- * remembered by their whole path. The least recently used go first, as at the
- * replica.
+ * A cached part is usable only if all parts before it are cached too, so parts
+ * are identified by their whole path from the start of the prompt. The least
+ * recently used parts are evicted first, as on the replica.
  */
 export class PromptMemory {
-  readonly #parts = new Map<string, number>();
+  readonly #tokensByPath = new Map<string, number>();
   #tokens = 0;
   readonly #maxTokens: number;
 
-  /** @param capacityTokens - size of the replica's cache */
+  /** @param capacityTokens - size of the replica's cache, in tokens */
   constructor(capacityTokens: number) {
-    this.#maxTokens = COUNTED_SHARE * capacityTokens;
+    this.#maxTokens = OWN_CACHE_SHARE * capacityTokens;
   }
 
   /**
-   * @param parts - of a prompt
-   * @param paths - of the same parts; taken once for all replicas
-   * @returns tokens at the front of the prompt that need not be read again
+   * Estimates how much of a prompt the replica has cached.
+   *
+   * @param parts - parts of the prompt
+   * @param paths - paths of these parts; computed once for all replicas
+   * @returns the tokens at the start of the prompt that need not be read again
    */
   cachedTokens(parts: readonly PromptPart[], paths: readonly string[]): number {
-    const missing = paths.findIndex(path => !this.#parts.has(path));
+    const missing = paths.findIndex(path => !this.#tokensByPath.has(path));
     const kept = missing === -1 ? parts : parts.slice(0, missing);
     return kept.reduce((sum, { tokens }) => sum + tokens, 0);
   }
 
-  /** Notes that the replica read a prompt. */
+  /** Records that the replica read a prompt. */
   onRead(parts: readonly PromptPart[]): void {
     pathsOf(parts).forEach((path, index) => {
       const tokens = parts[index]?.tokens ?? 0;
-      this.#tokens -= this.#parts.get(path) ?? 0;
+      this.#tokens -= this.#tokensByPath.get(path) ?? 0;
       // Re-inserted, so that the map stays in order of use.
-      this.#parts.delete(path);
-      this.#parts.set(path, tokens);
+      this.#tokensByPath.delete(path);
+      this.#tokensByPath.set(path, tokens);
       this.#tokens += tokens;
     });
     this.#evict();
   }
 
   #evict(): void {
-    const oldest = this.#parts.keys();
+    const oldest = this.#tokensByPath.keys();
     while (this.#tokens > this.#maxTokens) {
       const path = oldest.next().value;
       if (path === undefined) {
         return;
       }
-      this.#tokens -= this.#parts.get(path) ?? 0;
-      this.#parts.delete(path);
+      this.#tokens -= this.#tokensByPath.get(path) ?? 0;
+      this.#tokensByPath.delete(path);
     }
   }
 }
 
-/** Names of parts that tell what stands before them as well. */
+/**
+ * Returns for each part a path that includes the ids of all parts before it.
+ */
 export function pathsOf(parts: readonly PromptPart[]): readonly string[] {
   return parts.map((_, index) =>
     parts
--- a/packages/decisions/src/gateway/ReplicaHealth.ts
+++ b/packages/decisions/src/gateway/ReplicaHealth.ts
@@ -3,95 +3,114 @@
 /** Whether a replica should get new requests. */
 export type HealthVerdict = 'avoid' | 'good' | 'probe';
 
-/** Weight of the newest outcome in the share of failures. */
+/** Smoothing factor of the failure share. */
 const OUTCOME_WEIGHT = 0.15;
-/** Failures in a row after which a replica is avoided. */
-const MAX_CONSECUTIVE = 3;
-/** Outcomes before the share of failures says anything. */
+/** Number of consecutive failures after which a replica is avoided. */
+const MAX_CONSECUTIVE_FAILURES = 3;
+/** Number of outcomes before the failure share is used. */
 const MIN_OUTCOMES = 6;
 /**
- * Share of failures above the usual of the service from which a replica is
- * avoided. Plain services fail up to a seventh of one kind of request by
- * themselves; failing replicas were seen to fail four in ten.
+ * A replica is avoided once its failure share exceeds that of the service by
+ * this much. Plain services fail up to a seventh of one kind of request by
+ * themselves, while failing replicas were observed to fail four in ten.
  */
-const EXCESS_FAILURES = 0.25;
+const EXCESS_FAILURE_SHARE = 0.25;
 /** Time for which a replica is avoided at first; doubles each time. */
-const FIRST_AVOID_MS = 800;
+const INITIAL_AVOID_MS = 800;
 const MAX_AVOID_MS = 6400;
-/** Successful probes in a row that end the caution. */
-const PROBES_TO_TRUST = 3;
+/**
+ * Number of consecutive successful probes after which a replica is trusted
+ * again.
+ */
+const PROBES_TO_RECOVER = 3;
 
 /**
- * How one replica behaves towards this instance.
+ * Circuit breaker for one replica, from the outcomes that this instance
+ * observes.
  *
- * Guards against replicas that fail requests while they announce themselves as
- * ready, or are dead before their entry is removed. It shows as failures in a
- * row or as a share of failures well above that of the other replicas.
+ * It detects replicas that fail requests while they announce themselves as
+ * ready, or that are dead before their entry is removed: by consecutive
+ * failures, or by a failure share well above that of the other replicas.
  */
 export class ReplicaHealth {
-  #consecutive = 0;
+  #consecutiveFailures = 0;
   #outcomes = 0;
   #failureShare = 0;
   #avoidUntilMs = -Infinity;
-  #avoidMs = FIRST_AVOID_MS;
+  #avoidMs = INITIAL_AVOID_MS;
   #onProbation = false;
-  #goodProbes = 0;
-  #probing = 0;
+  #successfulProbes = 0;
+  #probesInFlight = 0;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Smoothed share of failed attempts, 0 to 1. */
+  /** Smoothed share of failed attempts, from 0 to 1. */
   get failureShare(): number {
     return this.#failureShare;
   }
 
-  /** Says whether to send the replica new requests; probes go one at a time. */
+  /**
+   * Whether to send new requests to the replica; probes are sent one at a time.
+   */
   get verdict(): HealthVerdict {
     if (!this.#onProbation) {
       return 'good';
     }
-    if (this.clock() < this.#avoidUntilMs || this.#probing > 0) {
+    if (this.clock() < this.#avoidUntilMs || this.#probesInFlight > 0) {
       return 'avoid';
     }
     return 'probe';
   }
 
-  /** Tells that an attempt was sent. */
+  /** Records that an attempt was sent. */
   onSent(): void {
     if (this.#onProbation) {
-      this.#probing += 1;
+      this.#probesInFlight += 1;
     }
   }
 
-  /** Tells that an attempt ended without saying anything about the replica. */
-  onNeutral(): void {
-    this.#probing = Math.max(0, this.#probing - 1);
+  /**
+   * Records that an attempt ended with an outcome that says nothing about the
+   * replica.
+   */
+  onInconclusive(): void {
+    this.#probesInFlight = Math.max(0, this.#probesInFlight - 1);
   }
 
   onSuccess(): void {
-    this.onNeutral();
-    this.#consecutive = 0;
+    this.onInconclusive();
+    this.#consecutiveFailures = 0;
     this.#count(0);
-    // Answers that were under way when the caution began are no probes.
+    // Answers to requests that were sent before the replica was avoided are no
+    // probes.
     if (!this.#onProbation || this.clock() < this.#avoidUntilMs) {
       return;
     }
-    this.#goodProbes += 1;
-    if (this.#goodProbes >= PROBES_TO_TRUST) {
+    this.#successfulProbes += 1;
+    if (this.#successfulProbes >= PROBES_TO_RECOVER) {
       this.#onProbation = false;
-      this.#avoidMs = FIRST_AVOID_MS;
+      this.#avoidMs = INITIAL_AVOID_MS;
     }
   }
 
-  /** @param usualShare - share of failures that the service's replicas have */
+  /**
+   * Records a failed attempt.
+   *
+   * @param usualShare - failure share of the service's other replicas, from 0
+   *   to 1
+   */
   onFailure(usualShare: number): void {
-    this.onNeutral();
-    this.#consecutive += 1;
+    this.onInconclusive();
+    this.#consecutiveFailures += 1;
     this.#count(1);
     const isWorse =
       this.#outcomes >= MIN_OUTCOMES &&
-      this.#failureShare > usualShare + EXCESS_FAILURES;
-    if (this.#onProbation || this.#consecutive >= MAX_CONSECUTIVE || isWorse) {
+      this.#failureShare > usualShare + EXCESS_FAILURE_SHARE;
+    if (
+      this.#onProbation ||
+      this.#consecutiveFailures >= MAX_CONSECUTIVE_FAILURES ||
+      isWorse
+    ) {
       this.#avoid();
     }
   }
@@ -109,6 +128,6 @@
     this.#avoidUntilMs = nowMs + this.#avoidMs;
     this.#avoidMs = Math.min(MAX_AVOID_MS, 2 * this.#avoidMs);
     this.#onProbation = true;
-    this.#goodProbes = 0;
+    this.#successfulProbes = 0;
   }
 }
--- a/packages/decisions/src/gateway/ReplicaRegistry.ts
+++ b/packages/decisions/src/gateway/ReplicaRegistry.ts
@@ -1,6 +1,6 @@
 import type { BackendServerId, Replica } from '@jujubecroft/types';
 
-import type { ListedChanges } from './listChanges.js';
+import type { ChangeSelection } from './listChanges.js';
 import { changesSince, newestChanges } from './listChanges.js';
 import type {
   ReplicaChange,
@@ -8,36 +8,39 @@
   ReplicaRecord,
   ReplicaRow,
 } from './ReplicaRecord.js';
-import { isEarlierRun, kindOf, newestBorn } from './replicaRuns.js';
+import { isEarlierRun, changeKindOf, latestStartMs } from './replicaRuns.js';
 import type { StoreClock } from './StoreClock.js';
 
 /**
- * Removed entries that are remembered, so that others can be told of them.
- * Above this the oldest go and instances that are further behind get all
- * entries; 500 removals are more than a day of the planned fleet brings.
+ * Number of removed entries that are kept, so that other instances can be told.
+ * Beyond it, the oldest are pruned, and instances that are further behind
+ * receive all entries. The planned fleet has fewer than 500 removals per day.
  */
-const MAX_REMOVED = 500;
+const MAX_TOMBSTONES = 500;
 
-/** Moment of the store's clock that is past at any time. */
-const LONG_AGO_MS = 0;
+/** A time on the store's clock that is always in the past. */
+const PAST_MS = 0;
 
 /**
- * The replicas of all services by their entries in the store.
+ * The replicas of all services, built from their entries in the store.
  *
- * Entries carry the store's version, so views of several instances merge in any
- * order: the newest row of each entry wins and the view never goes back.
+ * Rows carry the store's version, so the views of several instances can be
+ * merged in any order: the newest row of each entry wins, and the view never
+ * goes back.
  */
 export class ReplicaRegistry {
   readonly #records = new Map<BackendServerId, ReplicaRecord>();
   #version = 0;
   #changedAt = 0;
   #asOfMs = -Infinity;
-  #prunedVersion = 0;
-  #lapsesUntilMs = -Infinity;
+  #newestPrunedVersion = 0;
+  #lapseGraceUntilMs = -Infinity;
 
   constructor(private readonly storeClock: StoreClock) {}
 
-  /** Store version up to which the view is complete; 0 before the first read. */
+  /**
+   * Store version up to which the view is complete; 0 before the first read.
+   */
   get version(): number {
     return this.#version;
   }
@@ -47,47 +50,51 @@
     return this.#changedAt;
   }
 
-  /** When the view was current, on the store's clock; minus infinity if never. */
+  /**
+   * When the view was last current, on the store's clock; negative infinity if
+   * never.
+   */
   get asOfMs(): number {
     return this.#asOfMs;
   }
 
-  /** How long ago that was at most, in milliseconds. */
+  /** Upper bound on the age of the view, in milliseconds. */
   get ageMs(): number {
     return this.storeClock.ageOf(this.#asOfMs);
   }
 
-  /** Replicas that exist, leaving ones too. */
+  /** All existing replicas, including leaving ones. */
   get replicas(): readonly Replica[] {
     return [...this.#records.values()].flatMap(({ replica }) => replica ?? []);
   }
 
-  /** @returns the replica while its entry counts */
+  /** Returns a replica while its entry counts; undefined otherwise. */
   find(id: BackendServerId): Replica | undefined {
     return this.#records.get(id)?.replica ?? undefined;
   }
 
   /**
-   * Treats removals as lapses for a while.
+   * Treats removals as temporary lapses for a limited time.
    *
-   * Guards against a store that was away: entries of live replicas ran out
-   * meanwhile and come back within seconds. It shows as a wave of removals just
-   * after the store's return; replicas that are really gone are dropped when
-   * the time is up.
+   * During an outage of the store, the entries of live replicas expire; they
+   * come back within seconds of its return. This shows as a wave of removals
+   * right after the outage. Replicas that don't come back in time are dropped
+   * by `tick`.
    *
-   * @param forMs - how long live replicas may take to come back
+   * @param forMs - time within which live replicas come back, in milliseconds
    */
   expectLapses(forMs: number): void {
-    this.#lapsesUntilMs = this.storeClock.latestMs + forMs;
+    this.#lapseGraceUntilMs = this.storeClock.latestMs + forMs;
   }
 
   /**
-   * Takes over rows that the store listed as changed.
+   * Applies rows that the store listed as changed.
    *
    * @param rows - changed entries
-   * @param version - store version that the rows lead up to
-   * @param asOfMs - the store's clock when it answered
-   * @returns what changed
+   * @param version - store version that the view is complete for with these
+   *   rows
+   * @param asOfMs - time on the store's clock when it answered
+   * @returns the resulting changes
    */
   applyRows(
     rows: readonly ReplicaRow[],
@@ -100,7 +107,15 @@
     return changes;
   }
 
-  /** Takes over a full read; entries that it lacks were removed. */
+  /**
+   * Applies a full read of the store. Entries that it doesn't contain were
+   * removed.
+   *
+   * @param rows - all entries
+   * @param version - store version of the read
+   * @param asOfMs - time on the store's clock when it answered
+   * @returns the resulting changes
+   */
   applySnapshot(
     rows: readonly ReplicaRow[],
     version: number,
@@ -117,21 +132,25 @@
   }
 
   /**
-   * Collects what another instance lacks.
+   * Returns the changes that another instance lacks.
    *
-   * @param version - store version that the other's view is complete for
-   * @returns the changes since then
+   * @param version - store version that the other instance's view is complete
+   *   for
    */
   changesSince(version: number): ReplicaChanges {
-    return this.#told(changesSince(this.#all, version, this.#prunedVersion));
+    return this.#withViewVersion(
+      changesSince(this.#all, version, this.#newestPrunedVersion),
+    );
   }
 
   /**
-   * The same as long as it is little.
+   * Returns the changes that another instance lacks, limited in number.
    *
-   * @param version - store version that the other's view is complete for
-   * @param limit - most changes that are listed
-   * @returns the changes since then, or the newest ones where there are more
+   * @param version - store version that the other instance's view is complete
+   *   for
+   * @param limit - largest number of changes to list
+   * @returns the changes since that version; only the newest ones if there are
+   *   more
    */
   changesWithin(version: number, limit: number): ReplicaChanges {
     const changes = this.changesSince(version);
@@ -139,27 +158,30 @@
   }
 
   /**
-   * The newest changes, for others whose views are nearly as new.
+   * Returns the newest changes, for instances whose views are nearly as new.
    *
-   * @param limit - most changes that are listed
+   * @param limit - largest number of changes to list
    */
   newestChanges(limit: number): ReplicaChanges {
-    return this.#told(newestChanges(this.#all, limit, this.#prunedVersion));
+    return this.#withViewVersion(
+      newestChanges(this.#all, limit, this.#newestPrunedVersion),
+    );
   }
 
   get #all(): readonly ReplicaRecord[] {
     return [...this.#records.values()];
   }
 
-  #told(changes: ListedChanges): ReplicaChanges {
+  #withViewVersion(changes: ChangeSelection): ReplicaChanges {
     return { ...changes, version: this.#version, asOfMs: this.#asOfMs };
   }
 
   /**
-   * Whether nothing is missing between this view and some changes.
+   * Whether changes follow this view without a gap.
    *
-   * Merged all the same, a view would count as complete for a version although it
-   * has never heard of a replica that left before the oldest of the changes.
+   * If changes were merged across a gap, the view would count as complete for a
+   * version even though it lacks replicas that left before the oldest of the
+   * changes.
    */
   connects({
     complete,
@@ -168,7 +190,13 @@
     return complete || (this.#version > 0 && this.#version >= from);
   }
 
-  /** Takes over the changes of another instance, which connect to this view. */
+  /**
+   * Merges the changes of another instance. They must follow this view without
+   * a gap.
+   *
+   * @param changes - changes of the other instance
+   * @returns the resulting changes
+   */
   merge(changes: ReplicaChanges): readonly ReplicaChange[] {
     const merged = changes.records.flatMap(record => this.#mergeRecord(record));
     const dropped = changes.complete ? this.#dropUnlisted(changes) : [];
@@ -177,16 +205,21 @@
   }
 
   /**
-   * Takes note that nothing changed up to a later version.
+   * Records that nothing changed up to a later version.
    *
-   * @param version - that another instance's view is complete for
+   * @param version - store version that another instance's view is complete for
    * @param asOfMs - when that view was current, on the store's clock
    */
   confirm(version: number, asOfMs: number): void {
     this.#advance(version, asOfMs);
   }
 
-  /** Periodic work: entries whose time to come back is up are gone. */
+  /**
+   * Drops lapsed entries that have not come back in time. To be called
+   * periodically.
+   *
+   * @returns the resulting changes
+   */
   tick(): readonly ReplicaChange[] {
     const nowMs = this.storeClock.latestMs;
     if (!Number.isFinite(nowMs)) {
@@ -215,11 +248,11 @@
   }
 
   /**
-   * Takes over an entry, unless it speaks of an earlier run.
+   * Applies an entry, unless it belongs to an earlier run.
    *
-   * Guards against the last report of a run that crashed: the store may carry it
-   * out seconds later, after the first report of the next run. It shows as a
-   * replica that is leaving or has another address though it has just started.
+   * The store may apply the last report of a crashed run seconds later, after
+   * the first report of the next run. Applied here, it would make a replica
+   * that has just started look as if it were leaving or had another address.
    */
   #put(
     row: ReplicaRow,
@@ -231,9 +264,9 @@
       this.#store({ ...before, rowVersion });
       return null;
     }
-    const bornMs = newestBorn(replica, before);
+    const bornMs = latestStartMs(replica, before);
     const known = { ...replica, bornMs };
-    const kind = kindOf(before, known);
+    const kind = changeKindOf(before, known);
     const changedAt = kind ? rowVersion : (before?.changedAt ?? rowVersion);
     this.#store({
       id,
@@ -252,14 +285,14 @@
   ): ReplicaChange | null {
     const nowMs = this.storeClock.latestMs;
     const mayComeBack =
-      before?.replica?.leaving === false && nowMs < this.#lapsesUntilMs;
+      before?.replica?.leaving === false && nowMs < this.#lapseGraceUntilMs;
     this.#store({
       id,
       rowVersion,
       changedAt: rowVersion,
       bornMs: before?.bornMs ?? null,
       replica: mayComeBack ? before.replica : null,
-      goneAtMs: mayComeBack ? this.#lapsesUntilMs : LONG_AGO_MS,
+      goneAtMs: mayComeBack ? this.#lapseGraceUntilMs : PAST_MS,
     });
     if (!before?.replica) {
       return null;
@@ -277,11 +310,12 @@
       this.#store({ ...before, rowVersion });
       return [];
     }
-    this.#store({ ...record, bornMs: newestBorn(record, before) });
+    this.#store({ ...record, bornMs: latestStartMs(record, before) });
     if (!replica) {
       return before?.replica ? [{ kind: 'gone', id, rowVersion }] : [];
     }
-    const kind = record.goneAtMs === null ? kindOf(before, replica) : 'lapsed';
+    const kind =
+      record.goneAtMs === null ? changeKindOf(before, replica) : 'lapsed';
     return kind ? [{ kind, id, rowVersion }] : [];
   }
 
@@ -322,15 +356,18 @@
     const removed = [...this.#records.values()].filter(
       ({ replica }) => replica === null,
     );
-    if (removed.length <= MAX_REMOVED) {
+    if (removed.length <= MAX_TOMBSTONES) {
       return;
     }
     removed
       .sort((a, b) => a.changedAt - b.changedAt)
-      .slice(0, removed.length - MAX_REMOVED)
+      .slice(0, removed.length - MAX_TOMBSTONES)
       .forEach(({ id, changedAt }) => {
         this.#records.delete(id);
-        this.#prunedVersion = Math.max(this.#prunedVersion, changedAt);
+        this.#newestPrunedVersion = Math.max(
+          this.#newestPrunedVersion,
+          changedAt,
+        );
       });
   }
 }
--- a/packages/decisions/src/gateway/RetryBudget.ts
+++ b/packages/decisions/src/gateway/RetryBudget.ts
@@ -2,96 +2,104 @@
 
 import type { Clock } from '../blackboard/Blackboard.js';
 
-/** Bound on repeated requests to one service, over all instances together. */
+/** Limit on retries to one service, over all instances together. */
 export interface RetryBudgetRules {
-  /** Repeats that each request allows for, on average. */
+  /** Average number of retries allowed per request. */
   readonly ratio: number;
-  /** Repeats that are allowed besides, in each window. */
+  /** Additional retries allowed in each window. */
   readonly extra: number;
   readonly windowMs: number;
 }
 
 /**
- * Share of the budget that is used. The rest covers instances whose window of
- * requests and of repeats are counted at other moments than the observer's.
+ * Share of the budget that is used. The remainder covers differences between
+ * the windows in which instances count requests and retries and those of an
+ * observer.
  */
-const USED_SHARE = 0.7;
+const USED_BUDGET_SHARE = 0.7;
 
-interface ServiceCounts {
+interface RetryHistory {
   readonly requests: number[];
-  readonly repeats: number[];
+  readonly retries: number[];
 }
 
-function dropOlder(times: number[], oldestMs: number): void {
+function dropOlderThan(times: number[], oldestMs: number): void {
   const firstKept = times.findIndex(time => time >= oldestMs);
   times.splice(0, firstKept === -1 ? times.length : firstKept);
 }
 
 /**
- * Bounds retries so that a failing service isn't buried under repeats.
+ * Limits retries, so that they don't overload a failing service further.
  *
- * Each instance takes its own requests times the ratio and an equal part of the
- * extra, so the parts sum up to the whole without coordination. An instance
- * that sees fewer peers than there are would take too much; it therefore counts
- * the most peers that it saw within a window.
+ * Each instance may use the ratio times its own requests plus an equal part of
+ * the extra retries, so the parts add up to the whole without coordination. An
+ * instance that sees fewer peers than exist would take too large a part; it
+ * therefore divides by the largest number of instances that it has seen
+ * recently.
  */
 export class RetryBudget {
-  readonly #services = new Map<ServiceId, ServiceCounts>();
+  readonly #services = new Map<ServiceId, RetryHistory>();
   #instances = 1;
-  #mostSeenMs = -Infinity;
+  #peakSeenMs = -Infinity;
 
   constructor(
     private readonly rules: RetryBudgetRules,
     private readonly clock: Clock,
   ) {}
 
-  /** Tells how many instances share the budget, this one included. */
+  /**
+   * Updates the number of instances that share the budget, including this one.
+   * A lower number takes effect only after two windows.
+   */
   onInstances(count: number): void {
     const nowMs = this.clock();
-    const isStale = nowMs - this.#mostSeenMs > 2 * this.rules.windowMs;
+    const isStale = nowMs - this.#peakSeenMs > 2 * this.rules.windowMs;
     if (count >= this.#instances || isStale) {
       this.#instances = Math.max(1, count);
-      this.#mostSeenMs = nowMs;
+      this.#peakSeenMs = nowMs;
     }
   }
 
-  /** Notes a caller's request for a service. */
+  /** Records a caller's request for a service. */
   onRequest(service: ServiceId): void {
-    this.#countsOf(service).requests.push(this.clock());
+    this.#historyOf(service).requests.push(this.clock());
   }
 
-  /** Repeats that are left in this instance's part. */
+  /**
+   * Returns the number of retries left in this instance's part; may be
+   * fractional or negative.
+   */
   left(service: ServiceId): number {
-    const { requests, repeats } = this.#countsOf(service);
+    const { requests, retries } = this.#historyOf(service);
     const oldestMs = this.clock() - this.rules.windowMs;
-    dropOlder(requests, oldestMs);
-    dropOlder(repeats, oldestMs);
+    dropOlderThan(requests, oldestMs);
+    dropOlderThan(retries, oldestMs);
     const allowed =
       this.rules.ratio * requests.length + this.rules.extra / this.#instances;
-    return USED_SHARE * allowed - repeats.length;
+    return USED_BUDGET_SHARE * allowed - retries.length;
   }
 
   /**
-   * Takes one repeat out of the budget.
+   * Takes one retry out of the budget.
    *
-   * @param service - that the repeat goes to
-   * @returns false when none is left
+   * @param service - service that the retry goes to
+   * @returns whether a retry was left
    */
   take(service: ServiceId): boolean {
     if (this.left(service) < 1) {
       return false;
     }
-    this.#countsOf(service).repeats.push(this.clock());
+    this.#historyOf(service).retries.push(this.clock());
     return true;
   }
 
-  #countsOf(service: ServiceId): ServiceCounts {
-    const known = this.#services.get(service);
-    if (known) {
-      return known;
+  #historyOf(service: ServiceId): RetryHistory {
+    const existing = this.#services.get(service);
+    if (existing) {
+      return existing;
     }
-    const counts: ServiceCounts = { requests: [], repeats: [] };
-    this.#services.set(service, counts);
-    return counts;
+    const history: RetryHistory = { requests: [], retries: [] };
+    this.#services.set(service, history);
+    return history;
   }
 }
--- a/packages/decisions/src/gateway/RouteDemand.ts
+++ b/packages/decisions/src/gateway/RouteDemand.ts
@@ -3,22 +3,25 @@
 import type { Clock } from '../blackboard/Blackboard.js';
 import { DemandRate } from './DemandRate.js';
 
-/** How much of an engine's time the requests of one route ask for. */
+/** Demand of one route's requests on engines. */
 export interface RouteDemand {
   readonly route: RouteId;
   /** Prompt tokens to be read per second. */
   readonly tokensPerS: number;
-  /** Requests that run at once. */
+  /** Number of requests in flight. */
   readonly inFlight: number;
 }
 
-/** Time over which demand is smoothed; bursts of a few seconds should count. */
-const WINDOW_MS = 3000;
+/**
+ * Time constant of the smoothed demand; short enough to follow bursts of a few
+ * seconds.
+ */
+const SMOOTHING_MS = 3000;
 const MS_PER_SECOND = 1000;
-/** Weight of the newest request in the mean size of a route's. */
+/** Smoothing factor of the mean request size. */
 const SIZE_WEIGHT = 0.1;
 
-function noteSize(
+function updateMeanSize(
   sizes: Map<RouteId, number>,
   route: RouteId,
   tokens: number,
@@ -27,50 +30,56 @@
   sizes.set(route, size + SIZE_WEIGHT * (tokens - size));
 }
 
-/** Demand of each route at this instance. */
-export class DemandBook {
+/** Tracks the demand of each route at this instance and its peers. */
+export class DemandTracker {
   readonly #tokens = new Map<RouteId, DemandRate>();
   readonly #inFlight = new Map<RouteId, number>();
-  readonly #sizes = new Map<RouteId, number>();
-  readonly #askedSizes = new Map<RouteId, number>();
+  readonly #admittedSizes = new Map<RouteId, number>();
+  readonly #offeredSizes = new Map<RouteId, number>();
   #peers: readonly RouteDemand[] = [];
 
   constructor(private readonly clock: Clock) {}
 
-  /** Notes a request that goes to a replica, with the tokens to be read. */
+  /**
+   * Records a request that is sent to a replica, with the tokens to be read
+   * there.
+   */
   onRequest(route: RouteId, tokens: number): void {
-    noteSize(this.#sizes, route, tokens);
+    updateMeanSize(this.#admittedSizes, route, tokens);
     this.#rateOf(route).add(tokens);
     this.#inFlight.set(route, (this.#inFlight.get(route) ?? 0) + 1);
   }
 
-  /** Notes a request that callers ask for, whether it is let in or not. */
-  onAsked(route: RouteId, tokens: number): void {
-    noteSize(this.#askedSizes, route, tokens);
+  /** Records a request that a caller makes, whether it is admitted or not. */
+  onOffered(route: RouteId, tokens: number): void {
+    updateMeanSize(this.#offeredSizes, route, tokens);
   }
 
   /**
-   * Mean tokens to be read of what callers ask for.
+   * Returns the mean number of tokens to be read per offered request.
    *
-   * What is let in may be smaller, as where only small requests find room.
+   * Admitted requests may be smaller, as when only small ones find room.
    *
-   * @returns 0 before there was a request
+   * @returns the mean; 0 before the first request
    */
-  askedTokens(route: RouteId): number {
-    return this.#askedSizes.get(route) ?? 0;
+  meanOfferedTokens(route: RouteId): number {
+    return this.#offeredSizes.get(route) ?? 0;
   }
 
-  /** @returns mean tokens to be read of a request; 0 before there was one */
+  /**
+   * Returns the mean number of tokens to be read per admitted request; 0 before
+   * the first request.
+   */
   meanTokens(route: RouteId): number {
-    return this.#sizes.get(route) ?? 0;
+    return this.#admittedSizes.get(route) ?? 0;
   }
 
-  /** Notes that a request left its replica. */
+  /** Records that a request of the route is no longer in flight. */
   onEnded(route: RouteId): void {
     this.#inFlight.set(route, (this.#inFlight.get(route) ?? 1) - 1);
   }
 
-  /** What this instance tells the others. */
+  /** This instance's demand for each route, to be sent to other instances. */
   get own(): readonly RouteDemand[] {
     return [...this.#tokens].map(([route, tokens]) => ({
       route,
@@ -79,12 +88,12 @@
     }));
   }
 
-  /** Takes in what the other instances have, summed up. */
+  /** Replaces the demand of the other instances. */
   onPeers(demands: readonly RouteDemand[]): void {
     this.#peers = demands;
   }
 
-  /** @returns the demand of some routes over all instances */
+  /** Returns the total demand of some routes over all instances. */
   total(routes: readonly RouteId[]): Omit<RouteDemand, 'route'> {
     return [...this.own, ...this.#peers]
       .filter(({ route }) => routes.includes(route))
@@ -102,7 +111,7 @@
     if (known) {
       return known;
     }
-    const rate = new DemandRate(this.clock, WINDOW_MS);
+    const rate = new DemandRate(this.clock, SMOOTHING_MS);
     this.#tokens.set(route, rate);
     return rate;
   }
--- a/packages/decisions/src/gateway/RoutingTable.ts
+++ b/packages/decisions/src/gateway/RoutingTable.ts
@@ -8,29 +8,32 @@
 
 import { PriorityOrder } from './PriorityOrder.js';
 
-/** The order of a service that no route leads to. */
-const NO_PRIORITIES = new PriorityOrder({ routes: [], organisations: null });
+/** Priority order of a service that no route leads to. */
+const EMPTY_ORDER = new PriorityOrder({ routes: [], organisations: null });
 
-/** Cuts a port off a host and lowers its case, since hosts compare that way. */
+/**
+ * Normalises a host for comparison: removes the port and converts to lower
+ * case.
+ */
 function canonicalHost(host: string): string {
   return host.replace(/:\d+$/, '').toLowerCase();
 }
 
-/** The longest leading part of a path that ends with a slash. */
-function longestPrefix(path: string): string {
+/** Returns the path up to and including its last slash. */
+function directoryOf(path: string): string {
   return path.slice(0, path.lastIndexOf('/') + 1);
 }
 
-/** The next shorter prefix; empty when there is none. */
-function shorterPrefix(prefix: string): string {
-  return longestPrefix(prefix.slice(0, -1));
+/** Returns the next shorter prefix; empty if there is none. */
+function parentPrefix(prefix: string): string {
+  return directoryOf(prefix.slice(0, -1));
 }
 
 /**
- * Look-ups over one routing configuration.
+ * Index of one routing configuration for look-ups.
  *
  * Prefixes end with a slash, so a path has at most as many candidates as it has
- * slashes; the cost of a look-up doesn't grow with the number of routes.
+ * slashes; the cost of a look-up does not grow with the number of routes.
  */
 export class RoutingTable {
   readonly #routes = new Map<string, Map<string, Route>>();
@@ -38,7 +41,7 @@
   readonly #services = new Map<ServiceId, RoutedService>();
   readonly #priorities = new Map<ServiceId, PriorityOrder>();
 
-  /** @param cfg - the configuration to look things up in */
+  /** @param cfg - the configuration to index */
   constructor(readonly cfg: RoutingConfiguration) {
     cfg.routes.forEach(route => {
       this.#addRoute(route);
@@ -54,7 +57,7 @@
     });
   }
 
-  /** Whether callers of routes that are not public need a key. */
+  /** Whether callers of non-public routes need a key. */
   get needsKeys(): boolean {
     return this.cfg.organisations !== null;
   }
@@ -62,36 +65,37 @@
   /**
    * Finds the route of a request.
    *
-   * @param host - as the caller wrote it, with or without a port
-   * @param path - without query
-   * @returns the route with the longest matching prefix
+   * @param host - host as the caller wrote it, with or without a port
+   * @param path - path without the query
+   * @returns the route with the longest matching prefix; undefined if none
+   *   matches
    */
   find(host: string, path: string): Route | undefined {
     const byPrefix = this.#routes.get(canonicalHost(host));
-    let prefix = byPrefix ? longestPrefix(path) : '';
+    let prefix = byPrefix ? directoryOf(path) : '';
     while (prefix !== '') {
       const route = byPrefix?.get(prefix);
       if (route) {
         return route;
       }
-      prefix = shorterPrefix(prefix);
+      prefix = parentPrefix(prefix);
     }
     return undefined;
   }
 
-  /** @returns the organisation that holds a key, if any does */
+  /** Returns the organisation that a key belongs to, if any. */
   organisationOf(key: string): RoutedOrganisation | undefined {
     return this.#organisations.get(key);
   }
 
-  /** @returns the service, if it is declared */
+  /** Returns the service with this id, if it is declared. */
   service(id: ServiceId): RoutedService | undefined {
     return this.#services.get(id);
   }
 
-  /** @returns the order of urgency among a service's requests */
+  /** Returns the priority order of a service's requests. */
   priorities(id: ServiceId): PriorityOrder {
-    return this.#priorities.get(id) ?? NO_PRIORITIES;
+    return this.#priorities.get(id) ?? EMPTY_ORDER;
   }
 
   #priorityOrder(id: ServiceId): PriorityOrder {
--- a/packages/decisions/src/gateway/StoreClock.ts
+++ b/packages/decisions/src/gateway/StoreClock.ts
@@ -1,81 +1,96 @@
 import type { Clock } from '../blackboard/Blackboard.js';
 
-/** Most by which two steady clocks move apart, as a share of the time that passes. */
+/**
+ * Largest assumed drift between two monotonic clocks, as a share of elapsed
+ * time.
+ */
 const MAX_DRIFT = 0.0005;
-/** Clocks that tell whole milliseconds may be rounded up, in milliseconds. */
+/** Tolerance for clocks that round to whole milliseconds, in milliseconds. */
 const ROUNDING_MS = 2;
 
-/** A moment at which the store's clock showed at most this. */
+/** An upper bound on the store's clock at one local time. */
 interface Reading {
   readonly storeMs: number;
-  /** On the local clock. */
+  /** Local time at which the bound held. */
   readonly atMs: number;
 }
 
 /**
- * The store's clock, as far as an instance can know it.
+ * An instance's estimate of the store's clock.
  *
- * Instances tell each other at which moment of the store's clock a view was current.
- * Told as an age, it would lose the time in which the message was on its way or
- * waited to be read, and a view that passed through several busy instances would
- * count as much younger than it is. A moment loses nothing.
+ * Instances tell each other the time on the store's clock at which a view was
+ * current. If they sent its age instead, the time in transit and in queues
+ * would be lost, and a view relayed by several busy instances would seem much
+ * younger than it is.
  *
- * What is known is a bound: when a question was sent, the clock had not yet shown
- * what the answer says. So ages come out too long by the way of the fastest question,
- * and never too short.
+ * The estimate is an upper bound: at the time a request to the store was sent,
+ * its clock had not yet passed the time given in the answer. Computed ages are
+ * therefore never too short, and too long by at most the time that the fastest
+ * request took to reach the store, plus clock drift.
  */
 export class StoreClock {
   #reading: Reading | null = null;
 
   constructor(private readonly clock: Clock) {}
 
-  /** The latest that the store's clock may show now; infinite before any answer. */
+  /**
+   * Upper bound on the store's clock now; infinite before the first reading.
+   */
   get latestMs(): number {
-    return this.#reading ? this.#latestFrom(this.#reading) : Infinity;
+    return this.#reading ? this.#upperBoundFrom(this.#reading) : Infinity;
   }
 
   /**
-   * How long ago a moment of the store's clock was, at most.
+   * Returns an upper bound on how long ago a time on the store's clock was.
    *
-   * @param storeMs - the moment
-   * @returns milliseconds; infinite where nothing is known of the clock
+   * @param storeMs - time on the store's clock
+   * @returns the age in milliseconds; infinite if the store's clock is not
+   *   known
    */
   ageOf(storeMs: number): number {
     return Math.max(0, this.latestMs - storeMs);
   }
 
   /**
-   * Takes in what the store's clock showed, or the latest that it may have shown.
+   * Records a reading of the store's clock, or an upper bound on it. A reading
+   * that does not tighten the current bound is ignored.
    *
-   * A clock that is further than it may be shows that this instance stood still
-   * meanwhile, or that the store goes by another clock; what was known before then
-   * counts no more.
+   * A reading ahead of the current bound shows that this instance was suspended
+   * in the meantime or that the store's clock has changed. Earlier readings are
+   * then discarded.
    *
-   * @param storeMs - as an answer says
-   * @param askedMs - local time at which the question was sent
+   * @param storeMs - time on the store's clock, from an answer
+   * @param askedMs - local time at which the request was sent
    */
   read(storeMs: number, askedMs: number): void {
     const reading = { storeMs, atMs: askedMs };
-    if (this.isAhead(storeMs) || this.#latestFrom(reading) < this.latestMs) {
+    if (
+      this.isAhead(storeMs) ||
+      this.#upperBoundFrom(reading) < this.latestMs
+    ) {
       this.#reading = reading;
     }
   }
 
   /**
-   * Whether a moment that the store's clock has shown lies beyond what it may show.
+   * Whether a time that the store's clock has shown is later than the current
+   * bound permits.
    *
-   * @param storeMs - the moment
+   * @param storeMs - time on the store's clock
    */
   isAhead(storeMs: number): boolean {
     return storeMs > this.latestMs + ROUNDING_MS;
   }
 
-  /** Takes note that the local clock did not count some time. */
+  /**
+   * Discards the readings, for use when the local clock has not counted some
+   * time.
+   */
   forget(): void {
     this.#reading = null;
   }
 
-  #latestFrom({ storeMs, atMs }: Reading): number {
+  #upperBoundFrom({ storeMs, atMs }: Reading): number {
     return storeMs + (1 + MAX_DRIFT) * (this.clock() - atMs);
   }
 }
--- a/packages/decisions/src/gateway/attemptNotes.ts
+++ b/packages/decisions/src/gateway/attemptLifecycle.ts
@@ -3,13 +3,13 @@
 import { noteCrash } from './crashes/noteCrash.js';
 import type { GatewayBoard } from './GatewayBoard.js';
 import { learningOf } from './GatewayBoard.js';
-import { judgeReplica } from './judgeReplica.js';
+import { updateReplicaHealth } from './updateReplicaHealth.js';
 import type { PlacedCandidate } from './placement/PlacementPolicy.js';
 import type { Urgency } from './placement/serviceRank.js';
 import { requestRank } from './requestRank.js';
 import type { AttemptResult } from './recovery/AttemptResult.js';
 
-/** Weight of the newest answer in the mean time of a plain service. */
+/** Smoothing factor of the mean answer time of a plain service. */
 const ANSWER_WEIGHT = 0.05;
 
 function urgencyOf(number: number, isDeferred: boolean): Urgency {
@@ -20,12 +20,13 @@
 }
 
 /**
- * Notes that a request is being sent to a replica.
+ * Records that a request is being sent to a replica.
  *
  * @param board - the blackboard
  * @param request - the request
- * @param placed - where it goes
- * @param numbers - of the attempt
+ * @param placed - the chosen replica
+ * @param numbers - number of the attempt, and its number among those sent
+ * @returns the attempt
  */
 export function beginAttempt(
   board: GatewayBoard,
@@ -62,8 +63,11 @@
   return attempt;
 }
 
-/** How long a deferred request waits depends on what comes after it. */
-function learnDeferred(
+/**
+ * Records the wait of a deferred request, which depends on the requests that
+ * arrive after it.
+ */
+function learnDeferredWait(
   board: GatewayBoard,
   attempt: GatewayAttempt,
   tookMs: number,
@@ -71,16 +75,16 @@
   const { service, priority } = attempt.request;
   const { engine } = learningOf(board, service.id);
   const aheadMs = attempt.tokensAhead / engine.queueTokensPerMs(priority);
-  engine.onDeferred(priority, tookMs, aheadMs + engine.baseMs);
+  engine.onDeferredWait(priority, tookMs, aheadMs + engine.baseMs);
 }
 
 /**
- * Counts a request that began to run.
+ * Counts a request that has started to run towards usage.
  *
- * A plain service begins with a request soon after it came; what an engine begins is
- * seen by its first event.
+ * A plain service starts a request soon after it is sent; for an engine, the
+ * first event shows that it has started.
  */
-function noteBegan(
+function countStartedRequest(
   { duties, clock }: GatewayBoard,
   attempt: GatewayAttempt,
 ): void {
@@ -93,14 +97,15 @@
 }
 
 /**
- * Notes bytes of an answer, and learns from the first.
+ * Records that bytes of an answer arrived, and updates estimates on the first.
  *
  * @param board - the blackboard
- * @param attempt - that they answer
- * @param hasRun - whether the answer bears the mark of a run; another replica that
- *   took over the address answers as well, and says nothing of the one before
+ * @param attempt - the attempt that they answer
+ * @param hasRun - whether the answer is marked as coming from a run of the
+ *   request. An unmarked answer may come from another replica that took over the
+ *   address, and says nothing about the addressed one.
  */
-export function noteBytes(
+export function recordBytes(
   board: GatewayBoard,
   attempt: GatewayAttempt,
   hasRun: boolean,
@@ -111,7 +116,7 @@
     board.crashes.onBytes(attempt.load.replica);
   }
   if (attempt.lastByteMs !== null) {
-    attempt.load.onPause(nowMs - attempt.lastByteMs);
+    attempt.load.onEventInterval(nowMs - attempt.lastByteMs);
   }
   attempt.lastByteMs = nowMs;
   attempt.pieces += 1;
@@ -120,14 +125,14 @@
   }
   attempt.firstByteMs = nowMs;
   if (hasRun) {
-    noteBegan(board, attempt);
+    countStartedRequest(board, attempt);
   }
   attempt.load.onFirstByte(attempt);
   const { request, load, predictedMs, tokensAhead, sentMs } = attempt;
   const tookMs = nowMs - sentMs;
   const copyMs = attempt.fetch?.tookMs ?? 0;
   if (attempt.isDeferred) {
-    learnDeferred(board, attempt, tookMs);
+    learnDeferredWait(board, attempt, tookMs);
     return;
   }
   if (request.service.engine) {
@@ -138,8 +143,8 @@
   }
 }
 
-/** Notes how an attempt ended, and learns from it. */
-export function noteEnd(
+/** Records how an attempt ended, and updates estimates. */
+export function recordEnd(
   board: GatewayBoard,
   attempt: GatewayAttempt,
   result: AttemptResult,
@@ -156,13 +161,13 @@
     board.lengths.onEnded(request.route.id, attempt.pieces);
   }
   if (attempt.isDeferred && attempt.firstByteMs === null) {
-    learnDeferred(board, attempt, board.clock() - attempt.sentMs);
+    learnDeferredWait(board, attempt, board.clock() - attempt.sentMs);
   }
-  // What a plain service lost the answer of has run, most likely.
+  // If the answer of a plain service was lost, the request has most likely run.
   if (result.kind === 'lost' && !request.service.engine) {
-    noteBegan(board, attempt);
+    countStartedRequest(board, attempt);
   }
-  judgeReplica(board, attempt, result);
+  updateReplicaHealth(board, attempt, result);
   noteCrash(board, attempt, result);
   if (attempt.number > 1 && result.kind !== 'withdrawn') {
     const answered = result.kind === 'answered';
--- a/packages/decisions/src/gateway/callerPatience.ts
+++ b/packages/decisions/src/gateway/callerPatience.ts
@@ -1,16 +1,20 @@
 import type { Route } from '@jujubecroft/types';
 
-/** A caller waits for a first event or the next one at least so long. */
+/** Shortest time that callers wait for an event. */
 const MIN_PATIENCE_MS = 2000;
-/** The same as a multiple of the target for the first event, and of that for pauses. */
-const TARGETS_OF_PATIENCE = 4;
-const PAUSES_OF_PATIENCE = 8;
+/**
+ * Time that callers wait, as multiples of the targets for the first event and
+ * for the gap between events.
+ */
+const LATENCY_TARGET_MULTIPLE = 4;
+const GAP_TARGET_MULTIPLE = 8;
 
 /**
- * How long callers of a route wait for the next event before they leave.
+ * Returns how long callers of a route wait for the next event before they
+ * leave.
  *
- * @param route - tells the targets that their patience follows
- * @returns the longest wait, in milliseconds, as the users' platform states it
+ * @param route - route whose targets determine the time
+ * @returns the time in milliseconds, as specified by the users' platform
  */
 export function callerPatienceMs({
   latencyTargetMs,
@@ -18,7 +22,7 @@
 }: Route): number {
   return Math.max(
     MIN_PATIENCE_MS,
-    TARGETS_OF_PATIENCE * latencyTargetMs,
-    PAUSES_OF_PATIENCE * gapTargetMs,
+    LATENCY_TARGET_MULTIPLE * latencyTargetMs,
+    GAP_TARGET_MULTIPLE * gapTargetMs,
   );
 }
--- a/packages/decisions/src/gateway/configurationChanges.ts
+++ b/packages/decisions/src/gateway/configurationChanges.ts
@@ -6,20 +6,23 @@
   RoutingConfiguration,
 } from '@jujubecroft/types';
 
-/** Items of a list that came or changed, and ids of those that are gone. */
+/**
+ * Items of a list that were added or changed, and ids of those that were
+ * removed.
+ */
 export interface ListChanges<Item> {
   readonly put: readonly Item[];
   readonly removed: readonly string[];
 }
 
-/** What makes a later configuration of an earlier one. */
+/** Difference between two versions of the configuration. */
 export interface ConfigurationChanges {
   readonly from: number;
   readonly version: number;
   readonly routes: ListChanges<Route>;
   readonly services: ListChanges<RoutedService>;
   readonly limits: CallerLimits;
-  /** Null where callers need no key afterwards. */
+  /** Null if callers need no key in the later version. */
   readonly organisations: ListChanges<RoutedOrganisation> | null;
 }
 
@@ -27,23 +30,23 @@
   readonly id: string;
 }
 
-function isSame(a: unknown, b: unknown): boolean {
+function isEqual(a: unknown, b: unknown): boolean {
   return a === b || JSON.stringify(a) === JSON.stringify(b);
 }
 
-function changesOfList<Item extends Identified>(
+function diffLists<Item extends Identified>(
   before: readonly Item[],
   after: readonly Item[],
 ): ListChanges<Item> {
   const known = new Map(before.map(item => [item.id, item]));
   const kept = new Set(after.map(({ id }) => id));
   return {
-    put: after.filter(item => !isSame(known.get(item.id), item)),
+    put: after.filter(item => !isEqual(known.get(item.id), item)),
     removed: before.map(({ id }) => id).filter(id => !kept.has(id)),
   };
 }
 
-function applyToList<Item extends Identified>(
+function applyListChanges<Item extends Identified>(
   before: readonly Item[],
   { put, removed }: ListChanges<Item>,
 ): readonly Item[] {
@@ -54,34 +57,36 @@
 }
 
 /**
- * Finds what makes a later configuration of an earlier one.
+ * Computes the difference between two configurations.
  *
- * @param before - the earlier one
- * @param after - the later one
- * @returns the changes; few, however large the configurations are, where little changed
+ * @param before - the earlier configuration
+ * @param after - the later configuration
+ * @returns the changes; their size depends on what changed, not on the size of
+ *   the configurations
  */
-export function changesBetween(
+export function diffConfigurations(
   before: RoutingConfiguration,
   after: RoutingConfiguration,
 ): ConfigurationChanges {
   return {
     from: before.version,
     version: after.version,
-    routes: changesOfList(before.routes, after.routes),
-    services: changesOfList(before.services, after.services),
+    routes: diffLists(before.routes, after.routes),
+    services: diffLists(before.services, after.services),
     limits: after.limits,
     organisations:
       after.organisations &&
-      changesOfList(before.organisations ?? [], after.organisations),
+      diffLists(before.organisations ?? [], after.organisations),
   };
 }
 
 /**
- * Makes a later configuration of an earlier one.
+ * Applies changes to a configuration.
  *
- * @param before - the one that the changes are from
- * @param changes - found by `changesBetween`
- * @returns the later one; what has not changed is shared with the earlier one
+ * @param before - configuration that the changes start from
+ * @param changes - result of `diffConfigurations`
+ * @returns the later configuration, sharing unchanged items with the earlier
+ *   one
  */
 export function applyChanges(
   before: RoutingConfiguration,
@@ -90,10 +95,11 @@
   const { version, limits, organisations } = changes;
   return {
     version,
-    routes: applyToList(before.routes, changes.routes),
-    services: applyToList(before.services, changes.services),
+    routes: applyListChanges(before.routes, changes.routes),
+    services: applyListChanges(before.services, changes.services),
     limits,
     organisations:
-      organisations && applyToList(before.organisations ?? [], organisations),
+      organisations &&
+      applyListChanges(before.organisations ?? [], organisations),
   };
 }
--- a/packages/decisions/src/gateway/defaultGatewayPolicies.ts
+++ b/packages/decisions/src/gateway/defaultGatewayPolicies.ts
@@ -6,9 +6,9 @@
 import { toleranceSplit } from './placement/tolerance-split.js';
 
 /**
- * The policies that ship as the default.
+ * Creates the policies that are used by default.
  *
- * @param board - the blackboard of the gateway
+ * @param board - blackboard of the gateway
  * @returns one policy of each kind
  */
 export function defaultGatewayPolicies(board: GatewayBoard): GatewayPolicies {
--- a/packages/decisions/src/gateway/excusedMs.ts
+++ b/packages/decisions/src/gateway/excusedMs.ts
@@ -3,24 +3,25 @@
 import type { PlacedCandidate } from './placement/PlacementPolicy.js';
 
 /**
- * How much later a large request may begin than one of the usual size of its kind.
+ * Returns how much later a large request may start than one of its route's
+ * usual size.
  *
- * Guards against large requests that get nothing while small ones of their kind do:
- * admission itself keeps queues at its bounds, so that only what is small still fits
- * under them. With what its own size takes beyond the usual left out, a large request
- * waits for the same queue as others.
+ * Admission keeps queues at its bounds, so that only small requests would still
+ * fit below them and large ones would never be admitted. Disregarding the
+ * reading time of the part beyond the usual size, a large request is admitted
+ * at the same queue length as others.
  *
- * @param board - knows what is usual
+ * @param board - blackboard that provides the usual size
  * @param request - the request
- * @param best - where it would go
- * @returns milliseconds; 0 for a request that is not larger than usual
+ * @param best - its best candidate
+ * @returns the time in milliseconds; 0 for a request of usual size or smaller
  */
 export function excusedMs(
   board: GatewayBoard,
   { route }: GatewayRequest,
   { unreadTokens, ownReadMs }: PlacedCandidate,
 ): number {
-  const usualTokens = board.demand.askedTokens(route.id);
+  const usualTokens = board.demand.meanOfferedTokens(route.id);
   const beyondUsual = Math.max(0, unreadTokens - usualTokens);
   return beyondUsual > 0 ? (ownReadMs * beyondUsual) / unreadTokens : 0;
 }
--- a/packages/decisions/src/gateway/firstEventMs.ts
+++ b/packages/decisions/src/gateway/firstEventMs.ts
@@ -1,30 +1,34 @@
 import type { BackendLoad } from './BackendLoad.js';
 import type { EngineEstimator } from './EngineEstimator.js';
 
-/** What a request has to wait for at a replica. */
+/** The tokens that a request has to wait for at a replica. */
 export interface QueuedTokens {
-  /** Of the request, 0 first. */
+  /** Position of the request in the priority order, 0 first. */
   readonly priority: number;
-  /** Whether it steps behind what can still be on time. */
+  /**
+   * Whether the request is demoted behind requests that can still meet their
+   * target.
+   */
   readonly isDeferred: boolean;
-  /** Prompt tokens to be read there up to its end. */
+  /** Prompt tokens that the replica reads up to the end of this prompt. */
   readonly tokens: number;
 }
 
 /**
- * Expected time to a first event at a replica, without copies of cached parts.
+ * Predicts the time to the first event at a replica, without copying cached
+ * parts.
  *
- * @param engine - what was learnt of the service's engines
- * @param load - of the replica
- * @param queued - what is to be read
- * @returns the time, in milliseconds
+ * @param engine - estimates for the service's engines
+ * @param load - load of the replica
+ * @param queued - tokens that the request has to wait for
+ * @returns the time in milliseconds
  */
 export function firstEventMs(
   engine: EngineEstimator,
   load: BackendLoad,
   { priority, isDeferred, tokens }: QueuedTokens,
 ): number {
-  const stretch = isDeferred ? engine.deferredStretch(priority) : 1;
+  const delayFactor = isDeferred ? engine.deferredDelayFactor(priority) : 1;
   const readMs = tokens / engine.queueTokensPerMs(priority);
-  return engine.baseMs + load.slownessFor(priority) * stretch * readMs;
+  return engine.baseMs + load.slownessFor(priority) * delayFactor * readMs;
 }
--- a/packages/decisions/src/gateway/index.ts
+++ b/packages/decisions/src/gateway/index.ts
@@ -23,7 +23,7 @@
 export type { ViewState } from './judgeView.js';
 export { judgeView, viewAgeMs } from './judgeView.js';
 export type { Match } from './matchRequest.js';
-export type { HeardReport, OwnUse, PeerWork } from './PeerWorkBook.js';
+export type { HeardReport, OwnUse, PeerWork } from './PeerLoadTracker.js';
 export {
   isReader,
   isReaderDue,
--- a/packages/decisions/src/gateway/judgeView.ts
+++ b/packages/decisions/src/gateway/judgeView.ts
@@ -1,24 +1,25 @@
 import type { GatewayBoard } from './GatewayBoard.js';
 
 /**
- * Age up to which a view is used, as a share of the time in which a change must be in
- * force. The rest is the way of a request to its replica.
+ * Age up to which a view is used, as a share of the time within which a change
+ * must be in force. The remainder covers the transit of a request to its
+ * replica.
  */
-const USE_SHARE = 0.9;
+const USABLE_AGE_SHARE = 0.9;
 
-/** What an instance's view of configuration and replicas is worth. */
+/** State of an instance's view of the configuration and replicas. */
 export type ViewState =
-  /** Another instance has a current view, and this one has none. */
+  /** Another instance has a current view, but this one doesn't. */
   | 'behind'
   | 'current'
-  /** Nobody is known to have a current view. */
+  /** No instance is known to have a current view. */
   | 'unknown';
 
 /**
- * How long ago a view was current at most, in milliseconds.
+ * Returns an upper bound on the age of an instance's view.
  *
  * @param board - the blackboard
- * @returns the age of the older part, configuration or replicas
+ * @returns the age in milliseconds of the older part, configuration or replicas
  */
 export function viewAgeMs({
   replicas,
@@ -29,14 +30,14 @@
 }
 
 /**
- * Judges whether requests may be placed by what an instance knows.
+ * Determines whether an instance's view is recent enough to place requests.
  *
  * @param board - the blackboard
- * @param boundMs - time in which a change must be in force
+ * @param boundMs - time within which a change must be in force, in milliseconds
  * @returns the state of the view
  */
 export function judgeView(board: GatewayBoard, boundMs: number): ViewState {
-  const usableMs = USE_SHARE * boundMs;
+  const usableMs = USABLE_AGE_SHARE * boundMs;
   if (viewAgeMs(board) <= usableMs) {
     return 'current';
   }
--- a/packages/decisions/src/gateway/listChanges.ts
+++ b/packages/decisions/src/gateway/listChanges.ts
@@ -1,24 +1,28 @@
 import type { ReplicaChanges, ReplicaRecord } from './ReplicaRecord.js';
 
-/** Changes without what is the same for all that one view tells. */
-export type ListedChanges = Pick<
+/**
+ * Changes selected from a view, without the fields that describe the view as a
+ * whole.
+ */
+export type ChangeSelection = Pick<
   ReplicaChanges,
   'complete' | 'from' | 'records'
 >;
 
 /**
- * Lists what changed since a version.
+ * Lists the changes since a version.
  *
- * @param records - of the whole view
- * @param version - store version that the other's view is complete for
- * @param prunedVersion - newest change of a removed entry that is remembered no more
- * @returns all entries where changes may be missing
+ * @param records - all records of the view
+ * @param version - store version that the receiver's view is complete for
+ * @param prunedVersion - store version of the newest change that has been
+ *   pruned
+ * @returns the changes; all entries if earlier changes may have been pruned
  */
 export function changesSince(
   records: readonly ReplicaRecord[],
   version: number,
   prunedVersion: number,
-): ListedChanges {
+): ChangeSelection {
   const complete = version < prunedVersion || version === 0;
   return {
     complete,
@@ -33,15 +37,16 @@
 /**
  * Lists the newest changes.
  *
- * @param records - of the whole view
- * @param limit - most changes that are listed
- * @param prunedVersion - newest change of a removed entry that is remembered no more
+ * @param records - all records of the view
+ * @param limit - largest number of changes to list
+ * @param prunedVersion - store version of the newest change that has been
+ *   pruned
  */
 export function newestChanges(
   records: readonly ReplicaRecord[],
   limit: number,
   prunedVersion: number,
-): ListedChanges {
+): ChangeSelection {
   const newestFirst = [...records].sort((a, b) => b.changedAt - a.changedAt);
   const from = newestFirst[limit]?.changedAt ?? 0;
   return {
--- a/packages/decisions/src/gateway/matchRequest.ts
+++ b/packages/decisions/src/gateway/matchRequest.ts
@@ -8,19 +8,21 @@
 import type { GatewayBoard } from './GatewayBoard.js';
 import type { RoutingTable } from './RoutingTable.js';
 
-/** Who a request is for, or why it is turned away. */
+/** The route, service and organisation of a request, or why it is rejected. */
 export type Match =
   | {
       readonly kind: 'matched';
       readonly route: Route;
       readonly service: RoutedService;
       readonly organisation: RoutedOrganisation | null;
-      /** Place in the order of urgency of the service; 0 goes first. */
+      /** Position in the service's priority order; 0 is the most urgent. */
       readonly priority: number;
     }
   | { readonly kind: 'refused'; readonly code: ResultCodeId };
 
-/** Draws one of the services that a route's traffic is split among. */
+/**
+ * Draws one of the services that the route's traffic is split among, by weight.
+ */
 function chooseService(
   { shares }: Route,
   table: RoutingTable,
@@ -37,13 +39,13 @@
 }
 
 /**
- * Finds route, service and organisation of a request.
+ * Resolves the route, service and organisation of a request.
  *
- * @param board - holds the configuration in force, if any
- * @param host - host that the caller named
- * @param path - without query
- * @param key - the caller's key; null where there is none
- * @returns the match, or the code with which the request is turned away
+ * @param board - blackboard with the configuration in force, if any
+ * @param host - host named by the caller
+ * @param path - path without the query
+ * @param key - API key of the caller; null if there is none
+ * @returns the match, or the code of the rejection
  */
 export function matchRequest(
   { table, random }: GatewayBoard,
@@ -67,6 +69,6 @@
     return { kind: 'refused', code: 'noBackendServer' };
   }
   const holder = route.isPublic ? null : (organisation ?? null);
-  const priority = table.priorities(service.id).placeOf(route, holder);
+  const priority = table.priorities(service.id).positionOf(route, holder);
   return { kind: 'matched', route, service, organisation: holder, priority };
 }
--- a/packages/decisions/src/gateway/placeRequest.ts
+++ b/packages/decisions/src/gateway/placeRequest.ts
@@ -18,17 +18,17 @@
 import { isSameRun } from './replicaRuns.js';
 import { usableCandidates } from './usableCandidates.js';
 
-/** The policies of the gateway. */
+/** Placement and admission policies of the gateway. */
 export interface GatewayPolicies {
-  /** For services of language models. */
+  /** Places requests for language models. */
   readonly placePrompt: PlacementPolicy;
-  /** For plain services. */
+  /** Places requests for plain services. */
   readonly placeCall: PlacementPolicy;
   readonly admitPrompt: GatewayAdmission;
   readonly admitCall: GatewayAdmission;
 }
 
-/** Where a request goes, or why it is turned away. */
+/** The replica chosen for a request, or why the request is rejected. */
 export type PlacementDecision =
   | {
       readonly kind: 'send';
@@ -39,19 +39,26 @@
       readonly kind: 'refuse';
       readonly code: ResultCodeId;
       readonly retryAfterMs: number;
-      /** Null where there was no replica to judge. */
+      /** Verdict on the best candidate; null if there was none. */
       readonly verdict: GatewayVerdict | null;
-      /** What would have been best; null where there was nothing. */
+      /** The best candidate; null if there was none. */
       readonly best: PlacedCandidate | null;
       readonly candidates: number;
     };
 
-/** A caller that comes back sooner would find nothing changed. */
-const MIN_RETRY_MS = 50;
-/** Told when no replica can be used; replicas mostly return within a second. */
-const NO_BACKEND_RETRY_MS = 600;
-/** When a replica is likely to take the request, in milliseconds. */
-function roomInMs(
+/** Shortest retry delay; nothing would have changed sooner. */
+const MIN_RETRY_AFTER_MS = 50;
+/**
+ * Retry delay when no replica can be used; most replicas return within a
+ * second.
+ */
+const NO_BACKEND_RETRY_AFTER_MS = 600;
+
+/**
+ * Returns when a replica is likely to accept the request, in milliseconds from
+ * now.
+ */
+function retryAfterCapacityMs(
   { limits }: GatewayBoard,
   { priority }: GatewayRequest,
   candidates: readonly BackendLoad[],
@@ -60,11 +67,14 @@
     .map(load => limits.waitMs(load, priority))
     .filter(waitMs => waitMs > 0 && waitMs < Infinity);
   return waits.length > 0
-    ? Math.max(MIN_RETRY_MS, Math.min(...waits))
-    : NO_BACKEND_RETRY_MS;
+    ? Math.max(MIN_RETRY_AFTER_MS, Math.min(...waits))
+    : NO_BACKEND_RETRY_AFTER_MS;
 }
 
-/** Refuses what has crashed several replicas; coming back sooner is of no use. */
+/**
+ * Rejects a request whose content has crashed several replicas, until it may be
+ * sent again.
+ */
 function refuseCrashing(
   { crashes }: GatewayBoard,
   request: GatewayRequest,
@@ -79,16 +89,19 @@
   };
 }
 
-/** Keeps a request that may crash its replica to where the least would be lost with it. */
-function cautiously(
+/**
+ * Restricts a request that may crash its replica to the one with the fewest
+ * requests in flight.
+ */
+function limitCrashExposure(
   usable: readonly BackendLoad[],
   crashed: readonly CrashedRun[],
 ): readonly BackendLoad[] {
   if (crashed.length < CAUTIOUS_CRASHES) {
     return usable;
   }
-  // Entries of runs that crashed stand for a while, and look unused. A run that
-  // followed under the same id has crashed with nothing.
+  // The entry of a crashed run remains for a while and looks unused. A later
+  // run under the same id was not crashed by this request.
   return usable
     .filter(
       ({ replica }) =>
@@ -98,7 +111,10 @@
     .slice(0, 1);
 }
 
-/** Candidates for a request, once more as a deferred one where it is late anyway. */
+/**
+ * Ranks the candidates for a request, as a deferred one if it would be late
+ * anyway.
+ */
 function rankCandidates(
   board: GatewayBoard,
   place: PlacementPolicy,
@@ -117,12 +133,13 @@
 }
 
 /**
- * Decides where a request goes.
+ * Decides which replica gets a request.
  *
  * @param board - the blackboard
- * @param policies - that rank replicas and let requests in
+ * @param policies - policies for placement and admission
  * @param request - the request
- * @param tried - replicas that it was sent to before
+ * @param tried - replicas that the request was already sent to
+ * @returns the chosen replica, or why the request is rejected
  */
 export function placeRequest(
   board: GatewayBoard,
@@ -136,7 +153,10 @@
   if (crashes.length >= MAX_CRASHES) {
     return refuseCrashing(board, request);
   }
-  const usable = cautiously(usableCandidates(board, request, untried), crashes);
+  const usable = limitCrashExposure(
+    usableCandidates(board, request, untried),
+    crashes,
+  );
   const isPrompt = request.service.engine !== null;
   const place = isPrompt ? policies.placePrompt : policies.placeCall;
   const isFirst = tried.size === 0;
@@ -148,24 +168,24 @@
     return {
       kind: 'refuse',
       code: 'noBackendServer',
-      retryAfterMs: roomInMs(board, request, untried),
+      retryAfterMs: retryAfterCapacityMs(board, request, untried),
       verdict: null,
       best: null,
       candidates: 0,
     };
   }
   if (isFirst) {
-    board.demand.onAsked(request.route.id, best.unreadTokens);
+    board.demand.onOffered(request.route.id, best.unreadTokens);
   }
   const candidates = ranked.length;
-  // A request that runs already is not turned away half-way.
+  // A retry is not subject to admission, as the request was already admitted.
   if (!isFirst) {
     return { kind: 'send', placed: best, candidates };
   }
   const admit = isPrompt ? policies.admitPrompt : policies.admitCall;
   const verdict = admit(request, best);
-  // The cheapest replica may be the one that would not finish; a request that
-  // another would serve is not turned away for it.
+  // The cheapest replica may be the one that would not finish in time. The
+  // request is rejected only if no other replica would serve it either.
   const placed = verdict.admit
     ? best
     : ranked.slice(1).find(other => admit(request, other).admit);
--- a/packages/decisions/src/gateway/readDuty.ts
+++ b/packages/decisions/src/gateway/readDuty.ts
@@ -2,75 +2,84 @@
 
 import { byHash, byHashed, hashed } from '../util/byHash.js';
 
-/** Instances that read the store all the time; the second covers the first. */
-const READERS = 2;
-/** Age of the view from which others ask a reader, as a share of that time. */
-const ASK_SHARE = 0.3;
 /**
- * Age of the view from which others read the store too, as a share of the time
- * in which changes must be in force.
+ * Number of instances that read the store continuously; the second is a backup.
+ */
+const READER_COUNT = 2;
+/**
+ * Age of the view from which other instances query a reader, as a share of the
+ * time within which changes must be in force.
+ */
+const QUERY_AGE_SHARE = 0.3;
+/**
+ * Age of the view from which other instances read the store as well, as a share
+ * of the same time.
+ */
+const READ_AGE_SHARE = 0.45;
+/**
+ * Additional delay for each further instance, so that few of them read at once.
  */
-const STALE_SHARE = 0.45;
-/** Each further instance waits this much longer, so that few of them read at once. */
 const STAGGER_MS = 60;
-/** Most that an instance waits longer, as a share of the same time. */
+/** Upper limit of that delay, as a share of the same time. */
 const MAX_STAGGER_SHARE = 0.2;
 
 /**
- * Places the instances in an order that all of them agree on without talking.
+ * Returns the rank of an instance in an order that all instances compute alike,
+ * from hashes of their ids.
  *
  * @param self - this instance
- * @param live - live instances, this one included or not
- * @returns 0 for the first
+ * @param live - live instances, with or without this one
+ * @returns the rank, 0 for the first
  */
 export function rankOf(self: InstanceId, live: readonly InstanceId[]): number {
   return live.filter(id => id !== self && byHash(id, self) < 0).length;
 }
 
 /**
- * The instances that read the store all the time, as all of them agree.
+ * Returns the instances that read the store continuously; all instances compute
+ * the same.
  *
  * @param live - live instances
- * @returns the readers, first one first
+ * @returns the readers in order of rank
  */
 export function readersOf(live: readonly InstanceId[]): readonly InstanceId[] {
   return live
     .map(id => ({ ...hashed(id), instance: id }))
     .sort(byHashed)
-    .slice(0, READERS)
+    .slice(0, READER_COUNT)
     .map(({ instance }) => instance);
 }
 
-/** @returns whether an instance of this rank reads the store all the time */
+/** Whether an instance of this rank reads the store continuously. */
 export function isReader(rank: number): boolean {
-  return rank < READERS;
+  return rank < READER_COUNT;
 }
 
 /**
- * Says whether a view is so old that a reader should be asked for its own.
+ * Whether a view is old enough to query a reader for a newer one.
  *
- * In a fleet of two hundred it takes two seconds or more until everybody has heard
- * that nothing changed. A question to a reader costs the store nothing, and those
- * who got an answer need not read themselves.
+ * In a fleet of two hundred instances, it takes two seconds or more until all
+ * of them have heard that nothing changed. Querying a reader puts no load on
+ * the store, and an instance that got an answer need not read the store itself.
  *
- * @param ageMs - how long ago the view was known to be current
- * @param boundMs - time in which a change must be in force
- * @returns whether to ask
+ * @param ageMs - age of the view, in milliseconds
+ * @param boundMs - time within which a change must be in force, in milliseconds
+ * @returns whether to query a reader
  */
 export function isReaderDue(ageMs: number, boundMs: number): boolean {
-  return ageMs > ASK_SHARE * boundMs;
+  return ageMs > QUERY_AGE_SHARE * boundMs;
 }
 
 /**
- * Age of the view from which an instance reads the store itself.
+ * Returns the age of the view from which an instance reads the store itself.
  *
- * A few instances read and tell the others. Guards against readers that die,
- * freeze or lose the store: it shows as an ageing view at the others, who then
- * read for themselves, one after the other.
+ * A few instances read the store and inform the others. If these readers die,
+ * hang or lose the store, the views of the others age, and they start to read
+ * the store one after another.
  *
- * @param rank - place of the instance, 0 first
- * @param boundMs - time in which a change must be in force
- * @returns milliseconds; 0 for those that read all the time
+ * @param rank - rank of the instance, 0 first
+ * @param boundMs - time within which a change must be in force, in milliseconds
+ * @returns the age in milliseconds; 0 for instances that read continuously
  */
 export function readAtAgeMs(rank: number, boundMs: number): number {
   if (isReader(rank)) {
@@ -78,7 +87,7 @@
   }
   const staggerMs = Math.min(
     MAX_STAGGER_SHARE * boundMs,
-    (rank - READERS) * STAGGER_MS,
+    (rank - READER_COUNT) * STAGGER_MS,
   );
-  return STALE_SHARE * boundMs + staggerMs;
+  return READ_AGE_SHARE * boundMs + staggerMs;
 }
--- a/packages/decisions/src/gateway/replicaRuns.ts
+++ b/packages/decisions/src/gateway/replicaRuns.ts
@@ -2,42 +2,47 @@
 
 import type { ReplicaChange, ReplicaRecord } from './ReplicaRecord.js';
 
-type Born = Pick<Replica, 'bornMs'>;
+type RunStart = Pick<Replica, 'bornMs'>;
 
 /**
- * Whether a replica started again under its id after a run that was known.
+ * Whether a run of a replica started after the known run under the same id.
  *
- * @param now - the run that an entry tells of
+ * @param now - the run in an entry
  * @param known - the run known so far
- * @returns false where either start is unknown: then nothing tells runs apart
+ * @returns false if either start is unknown, since the runs can't be told apart
+ *   then
  */
-export function isLaterRun(now: Born, known: Born): boolean {
+export function isLaterRun(now: RunStart, known: RunStart): boolean {
   return (
     now.bornMs !== null && known.bornMs !== null && now.bornMs > known.bornMs
   );
 }
 
-/** Whether an entry speaks of a run before the one known. */
-export function isEarlierRun(now: Born, known: Born): boolean {
+/** Whether an entry belongs to a run before the known one. */
+export function isEarlierRun(now: RunStart, known: RunStart): boolean {
   return isLaterRun(known, now);
 }
 
-/** Whether two statements may speak of the same run of a replica. */
-export function isSameRun(a: Born, b: Born): boolean {
+/** Whether two pieces of information may refer to the same run of a replica. */
+export function isSameRun(a: RunStart, b: RunStart): boolean {
   return !isLaterRun(a, b) && !isLaterRun(b, a);
 }
 
-/** The later of two starts, where either is known. */
-export function newestBorn(now: Born, known: Born | undefined): number | null {
+/** Returns the later of two starts; null if neither is known. */
+export function latestStartMs(
+  now: RunStart,
+  known: RunStart | undefined,
+): number | null {
   const starts = [now, known].flatMap(run => run?.bornMs ?? []);
   return starts.length > 0 ? Math.max(...starts) : null;
 }
 
-function sameContent(a: Replica | null, b: Replica | null): boolean {
+function hasSameContent(a: Replica | null, b: Replica | null): boolean {
   if (!a || !b) {
     return a === b;
   }
-  // The time to warm up shrinks with each heartbeat; it is no news by itself.
+  // The warm-up time decreases with each heartbeat and does not count as a
+  // change.
   return (
     a.service === b.service &&
     a.address === b.address &&
@@ -49,20 +54,20 @@
 }
 
 /**
- * How an entry changes what is known of its replica.
+ * Determines how an entry changes what is known about its replica.
  *
- * @param before - what was known; undefined where nothing was
- * @param after - the entry
- * @returns null for a heartbeat that brings no news
+ * @param before - the known record; undefined if there is none
+ * @param after - the replica in the new entry
+ * @returns the kind of change; null for a heartbeat without changes
  */
-export function kindOf(
+export function changeKindOf(
   before: ReplicaRecord | undefined,
   after: Replica,
 ): ReplicaChange['kind'] | null {
   if (!before?.replica) {
     return 'added';
   }
-  if (sameContent(before.replica, after) && before.goneAtMs === null) {
+  if (hasSameContent(before.replica, after) && before.goneAtMs === null) {
     return null;
   }
   if (isLaterRun(after, before)) {
--- a/packages/decisions/src/gateway/requestRank.ts
+++ b/packages/decisions/src/gateway/requestRank.ts
@@ -4,12 +4,13 @@
 import { serviceRank } from './placement/serviceRank.js';
 
 /**
- * The rank at which a request goes to a replica.
+ * Returns the rank at which a replica serves a request.
  *
- * @param board - knows how many priorities the service's requests have
+ * @param board - blackboard that provides the number of the service's
+ *   priorities
  * @param request - the request
- * @param urgency - among those of its priority
- * @returns a rank from 0 to 9
+ * @param urgency - urgency among requests of the same priority
+ * @returns the rank, from 0 (served first) to 9
  */
 export function requestRank(
   { table }: GatewayBoard,
--- a/packages/decisions/src/gateway/judgeReplica.ts
+++ b/packages/decisions/src/gateway/updateReplicaHealth.ts
@@ -2,10 +2,13 @@
 import type { GatewayBoard } from './GatewayBoard.js';
 import { candidatesOf } from './GatewayBoard.js';
 import type { AttemptResult } from './recovery/AttemptResult.js';
-import { isOvertaken } from './usableCandidates.js';
+import { isAnswerLost } from './usableCandidates.js';
 
-/** The median share of failures among the other replicas of the service. */
-function usualFailures(board: GatewayBoard, { replica }: BackendLoad): number {
+/** Returns the median failure share of the service's other replicas. */
+function medianFailureShare(
+  board: GatewayBoard,
+  { replica }: BackendLoad,
+): number {
   const shares = candidatesOf(board, replica.service)
     .filter(load => load.replica.id !== replica.id)
     .map(({ health }) => health.failureShare)
@@ -14,11 +17,12 @@
 }
 
 /**
- * Whether an attempt that was given up says nothing of its replica.
+ * Whether the end of an attempt says nothing about its replica.
  *
- * A caller that leaves does not, unless its answer was lost there.
+ * This holds when the caller leaves, unless the replica seems to have lost the
+ * answer.
  */
-function isNeutral(
+function isInconclusive(
   board: GatewayBoard,
   attempt: GatewayAttempt,
   result: AttemptResult,
@@ -26,18 +30,18 @@
   return (
     result.kind === 'withdrawn' &&
     result.reason === 'callerLeft' &&
-    !isOvertaken(board, attempt)
+    !isAnswerLost(board, attempt)
   );
 }
 
 /**
- * Takes the end of an attempt into the health of its replica.
+ * Records the end of an attempt in the health of its replica.
  *
- * @param board - knows the other replicas of the service
- * @param attempt - that has just ended
+ * @param board - blackboard that provides the other replicas of the service
+ * @param attempt - the ended attempt
  * @param result - how it ended
  */
-export function judgeReplica(
+export function updateReplicaHealth(
   board: GatewayBoard,
   attempt: GatewayAttempt,
   result: AttemptResult,
@@ -47,9 +51,9 @@
     load.health.onSuccess();
     return;
   }
-  if (isNeutral(board, attempt, result)) {
-    load.health.onNeutral();
+  if (isInconclusive(board, attempt, result)) {
+    load.health.onInconclusive();
     return;
   }
-  load.health.onFailure(usualFailures(board, load));
+  load.health.onFailure(medianFailureShare(board, load));
 }
--- a/packages/decisions/src/gateway/usableCandidates.ts
+++ b/packages/decisions/src/gateway/usableCandidates.ts
@@ -10,104 +10,128 @@
 import { isIdempotent } from './recovery/decideRecovery.js';
 
 /**
- * Part of a replica's connection limit that all instances together use. The rest
- * covers instances that count fewer peers than there are, for a moment.
+ * Share of a replica's connection limit that all instances together use. The
+ * remainder covers instances that temporarily see fewer peers than exist.
+ */
+const USED_CONNECTION_SHARE = 0.8;
+/**
+ * Connections that an instance may open to a replica, however many share it.
  */
-const CONNECTIONS_USED = 0.8;
-/** Connections that an instance may have to a replica however many share it. */
 const MIN_CONNECTIONS = 2;
 /**
- * Time without any byte from a replica that has work of ours, after which it
- * counts as silent. Engines send an event to each stream several times a second.
+ * Time without any byte after which a replica with requests of this instance
+ * counts as unresponsive. Engines send an event to each stream several times a
+ * second.
+ */
+const SILENCE_TIMEOUT_MS = 700;
+/** Time without any byte from the replica before an attempt may be moved. */
+const STALL_TIMEOUT_MS = 200;
+/**
+ * Time-out for the first byte, as a multiple of the prediction, and its
+ * minimum.
+ */
+const PREDICTION_MULTIPLE = 2.5;
+const MIN_FIRST_BYTE_TIMEOUT_MS = 250;
+/**
+ * Number of later attempts answered first after which an answer may count as
+ * lost.
  */
-const SILENT_MS = 700;
-/** Time without bytes before an attempt may go on elsewhere. */
-const STALLED_MS = 200;
-/** Patience with a first byte, as a multiple of the prediction, and at least. */
-const PATIENCE = 2.5;
-const MIN_PATIENCE_MS = 250;
-/** Later attempts that began before an overdue one until its answer counts as lost. */
-const OVERTAKEN = 3;
-/** Time without a first byte before that, in milliseconds. */
-const MIN_OVERDUE_MS = 800;
-/** Lost answers at once from which a replica gets nothing more. */
-const LOST_ANSWERS = 2;
-/** Time that another replica needs to answer at all, in milliseconds. */
-const MIN_MOVE_MS = 100;
-/** Pause in a stream, as a multiple of its target, after which it is moved. */
-const GAP_PATIENCE = 3;
+const MIN_OVERTAKEN = 3;
+/** Shortest time without a first byte after which an answer counts as lost. */
+const MIN_LOST_ANSWER_MS = 800;
+/**
+ * Number of simultaneously lost answers from which a replica gets no new
+ * requests.
+ */
+const MIN_LOST_ANSWERS = 2;
+/** Shortest time left in which another replica could answer at all. */
+const MIN_MOVE_TIME_LEFT_MS = 100;
+/** Gap in a stream after which it is moved, as a multiple of its target. */
+const GAP_TARGET_MULTIPLE = 3;
 
 /**
- * How many connections this instance may open to one replica.
+ * Returns how many connections this instance may open to one replica.
  *
- * @param board - knows how many instances share the replica
- * @param request - of the service
- * @returns connections, at least two
+ * @param board - blackboard that provides the number of instances
+ * @param request - request for the replica's service
+ * @returns the number of connections, at least two
  */
 export function connectionShare(
   board: GatewayBoard,
   { service }: Pick<GatewayRequest, 'service'>,
 ): number {
-  const share = (CONNECTIONS_USED * service.maxConnections) / board.instances;
+  const share =
+    (USED_CONNECTION_SHARE * service.maxConnections) / board.instances;
   return Math.max(MIN_CONNECTIONS, Math.floor(share));
 }
 
 /**
  * Whether the answer to an attempt seems to be lost.
  *
- * Guards against a replica that runs requests and loses some of their answers
- * without a sign: it goes on answering others, so it looks alive. It shows as
- * attempts without a first byte though several later ones have theirs.
+ * Some faulty replicas run requests but lose some of the answers without
+ * closing the connection. They keep answering other requests, so they look
+ * responsive. This is detected by attempts without a first byte while several
+ * later ones have theirs.
  *
  * @param board - the blackboard
- * @param attempt - an attempt that has not ended, or is just ending
- * @returns true once it is well beyond its prediction, too
+ * @param attempt - an attempt that has not ended or is just ending
+ * @returns true only if the first byte is also well overdue against its
+ *   prediction
  */
-export function isOvertaken(
+export function isAnswerLost(
   board: GatewayBoard,
   attempt: GatewayAttempt,
 ): boolean {
   const { firstByteMs, overtaken, sentMs, predictedMs } = attempt;
-  const patienceMs = Math.max(MIN_OVERDUE_MS, PATIENCE * predictedMs);
+  const patienceMs = Math.max(
+    MIN_LOST_ANSWER_MS,
+    PREDICTION_MULTIPLE * predictedMs,
+  );
   return (
     firstByteMs === null &&
-    overtaken >= OVERTAKEN &&
+    overtaken >= MIN_OVERTAKEN &&
     board.clock() - sentMs > patienceMs
   );
 }
 
-/** Whether a replica loses answers. */
+/** Whether a replica seems to lose answers. */
 function losesAnswers(board: GatewayBoard, load: BackendLoad): boolean {
   const lost = [...load.attempts].filter(attempt =>
-    isOvertaken(board, attempt),
+    isAnswerLost(board, attempt),
   );
-  return lost.length >= LOST_ANSWERS;
+  return lost.length >= MIN_LOST_ANSWERS;
 }
 
-/** Whether a replica has sent nothing for long though it has work of ours. */
-function hasFallenSilent(board: GatewayBoard, load: BackendLoad): boolean {
+/**
+ * Whether a replica has not sent anything for too long while it has requests of
+ * this instance.
+ */
+function isUnresponsive(board: GatewayBoard, load: BackendLoad): boolean {
   const nowMs = board.clock();
   return [...load.attempts].some(attempt => {
     const sinceMs = Math.max(load.lastByteMs, attempt.sentMs);
     const patienceMs =
       attempt.firstByteMs === null
-        ? Math.max(SILENT_MS, PATIENCE * attempt.predictedMs)
-        : SILENT_MS;
+        ? Math.max(
+            SILENCE_TIMEOUT_MS,
+            PREDICTION_MULTIPLE * attempt.predictedMs,
+          )
+        : SILENCE_TIMEOUT_MS;
     return nowMs - sinceMs > patienceMs;
   });
 }
 
 /**
- * Keeps the candidates that may get a request, the sound ones if there are any.
+ * Selects the candidates that may get a request, preferring healthy ones.
  *
- * Guards against sending work to a dead replica while its entry still stands:
- * it shows as silence or failures towards this instance alone. With no sound
- * replica left the doubtful ones are better than a refusal.
+ * A replica may be dead while its entry still exists; this instance only sees
+ * that it is unresponsive or fails. If no healthy replica is left, a doubtful
+ * one is better than a rejection.
  *
  * @param board - the blackboard
  * @param request - the request to place
  * @param candidates - replicas of its service
- * @returns those that are worth a try
+ * @returns the candidates to choose from
  */
 export function usableCandidates(
   board: GatewayBoard,
@@ -119,12 +143,12 @@
     load =>
       load.inFlight < share && board.limits.mayTake(load, request.priority),
   );
-  const speaking = open.filter(
-    load => !hasFallenSilent(board, load) && !losesAnswers(board, load),
+  const responsive = open.filter(
+    load => !isUnresponsive(board, load) && !losesAnswers(board, load),
   );
-  const good = speaking.filter(({ health }) => health.verdict === 'good');
-  const probes = speaking.filter(({ health }) => health.verdict === 'probe');
-  // Whatever may be repeated is used to find out whether a replica is back.
+  const good = responsive.filter(({ health }) => health.verdict === 'good');
+  const probes = responsive.filter(({ health }) => health.verdict === 'probe');
+  // Idempotent requests are used to probe whether a replica has recovered.
   if (probes.length > 0 && isIdempotent(request.route)) {
     return [...good, ...probes];
   }
@@ -134,11 +158,11 @@
   if (probes.length > 0) {
     return probes;
   }
-  return speaking.length > 0 ? speaking : open;
+  return responsive.length > 0 ? responsive : open;
 }
 
-/** Whether a request could go on at another replica if its attempt were given up. */
-function canGoElsewhere(
+/** Whether another replica could take over the request of an attempt. */
+function canMoveElsewhere(
   board: GatewayBoard,
   { request, load, sentNumber }: GatewayAttempt,
 ): boolean {
@@ -146,52 +170,60 @@
   return (
     isIdempotent(route) &&
     sentNumber < route.maxAttempts &&
-    deadlineMs - board.clock() > MIN_MOVE_MS &&
+    deadlineMs - board.clock() > MIN_MOVE_TIME_LEFT_MS &&
     board.budget.left(service.id) >= 1 &&
     crashesOf(board, request).length < CAUTIOUS_CRASHES &&
     candidatesOf(board, service.id).some(
       other =>
         other !== load &&
-        !hasFallenSilent(board, other) &&
+        !isUnresponsive(board, other) &&
         board.limits.mayTake(other, request.priority),
     )
   );
 }
 
 /**
- * Whether an attempt should be given up and go on elsewhere.
+ * Whether an attempt should be withdrawn and its request moved to another
+ * replica.
  *
- * Guards against a replica that is dead, cut off or hangs: it shows as a late
- * first byte or a long pause while the replica sends nothing to any other
- * request of this instance either.
+ * Detects a replica that is dead, disconnected or hanging: the first byte is
+ * late or the stream pauses for long, and the replica does not send anything to
+ * other requests of this instance either.
  *
  * @param board - the blackboard
  * @param attempt - an attempt that has not ended
  * @returns true only for requests that may run again
  */
-export function isSilent(
+export function shouldMoveElsewhere(
   board: GatewayBoard,
   attempt: GatewayAttempt,
 ): boolean {
   const { request, load } = attempt;
   const nowMs = board.clock();
-  // Giving up without anywhere to go would only end the answer sooner.
-  if (!canGoElsewhere(board, attempt)) {
+  // Without another replica to move to, withdrawing would only end the answer
+  // sooner.
+  if (!canMoveElsewhere(board, attempt)) {
     return false;
   }
-  if (isOvertaken(board, attempt)) {
+  if (isAnswerLost(board, attempt)) {
     return true;
   }
-  if (nowMs - load.lastByteMs < STALLED_MS) {
+  if (nowMs - load.lastByteMs < STALL_TIMEOUT_MS) {
     return false;
   }
   if (attempt.lastByteMs !== null) {
-    const gapMs = Math.max(SILENT_MS, GAP_PATIENCE * request.route.gapTargetMs);
-    return nowMs - attempt.lastByteMs > gapMs;
+    const gapTimeoutMs = Math.max(
+      SILENCE_TIMEOUT_MS,
+      GAP_TARGET_MULTIPLE * request.route.gapTargetMs,
+    );
+    return nowMs - attempt.lastByteMs > gapTimeoutMs;
   }
   const usualMs = request.service.engine
     ? attempt.predictedMs
     : learningOf(board, request.service.id).answerMs;
-  const patienceMs = Math.max(MIN_PATIENCE_MS, PATIENCE * usualMs);
+  const patienceMs = Math.max(
+    MIN_FIRST_BYTE_TIMEOUT_MS,
+    PREDICTION_MULTIPLE * usualMs,
+  );
   return nowMs - attempt.sentMs > patienceMs;
 }
--- a/packages/decisions/tests/gateway/ConfigurationHistory.test.ts
+++ b/packages/decisions/tests/gateway/ConfigurationHistory.test.ts
@@ -69,7 +69,7 @@
           }));
           const history = new ConfigurationHistory(manualClock().now);
           versions.reduce<RoutingConfiguration | null>(
-            (before, after) => history.follow(before, after),
+            (before, after) => history.record(before, after),
             null,
           );
           const known = versions[pick % (versions.length - 1)];
@@ -93,13 +93,13 @@
       ...configuration([{ ...kept }], 2),
     };
     const history = new ConfigurationHistory(manualClock().now);
-    t.is(history.follow(before, after).routes[0], kept);
+    t.is(history.record(before, after).routes[0], kept);
     t.deepEqual(history.since(1)?.[0]?.routes, { put: [], removed: ['r-2'] });
   });
 
   it('leads nowhere from a version that it does not know', t => {
     const history = new ConfigurationHistory(manualClock().now);
-    history.follow(configuration([]), configuration([], 4));
+    history.record(configuration([]), configuration([], 4));
     t.is(history.since(2), null);
     t.is(followChanges(configuration([], 2), history.since(1) ?? []), null);
   });
@@ -107,9 +107,9 @@
   it('tells what came within a time', t => {
     const clock = manualClock();
     const history = new ConfigurationHistory(clock.now);
-    history.follow(configuration([]), configuration([], 2));
+    history.record(configuration([]), configuration([], 2));
     clock.advance(800);
-    history.follow(configuration([], 2), configuration([], 5));
+    history.record(configuration([], 2), configuration([], 5));
     clock.advance(300);
     t.deepEqual(
       history.newest(1000).map(({ version }) => version),
--- a/packages/decisions/tests/gateway/EngineEstimator.test.ts
+++ b/packages/decisions/tests/gateway/EngineEstimator.test.ts
@@ -19,15 +19,15 @@
 
   it('learns how often deferred requests are overtaken, within bounds', t => {
     const estimator = new EngineEstimator();
-    t.is(estimator.deferredStretch(0), 1);
+    t.is(estimator.deferredDelayFactor(0), 1);
     Array.from({ length: 60 }).forEach(() => {
-      estimator.onDeferred(0, 3000, 1000);
+      estimator.onDeferredWait(0, 3000, 1000);
     });
-    t.true(Math.abs(estimator.deferredStretch(0) - 3) < 0.1);
+    t.true(Math.abs(estimator.deferredDelayFactor(0) - 3) < 0.1);
     Array.from({ length: 200 }).forEach(() => {
-      estimator.onDeferred(0, 90_000, 100);
+      estimator.onDeferredWait(0, 90_000, 100);
     });
-    t.true(estimator.deferredStretch(0) <= 6);
+    t.true(estimator.deferredDelayFactor(0) <= 6);
   });
 
   // Invoices were overtaken by price checks and met 16 tokens a millisecond; price
@@ -37,10 +37,10 @@
     const before = estimator.queueTokensPerMs(0);
     Array.from({ length: 200 }).forEach(() => {
       estimator.onFirstEvent(1, 16_000, 1000);
-      estimator.onDeferred(1, 3000, 1000);
+      estimator.onDeferredWait(1, 3000, 1000);
     });
     t.is(estimator.queueTokensPerMs(0), before);
-    t.is(estimator.deferredStretch(0), 1);
+    t.is(estimator.deferredDelayFactor(0), 1);
     t.true(estimator.queueTokensPerMs(1) < 18);
   });
 });
--- a/packages/decisions/tests/gateway/PriorityOrder.test.ts
+++ b/packages/decisions/tests/gateway/PriorityOrder.test.ts
@@ -14,7 +14,7 @@
 const placesOf = (
   order: PriorityOrder,
   caller: RoutedOrganisation | null,
-): readonly number[] => routes.map(entry => order.placeOf(entry, caller));
+): readonly number[] => routes.map(entry => order.positionOf(entry, caller));
 
 describe('PriorityOrder', ({ it }) => {
   it('puts the route first and the organisation second', t => {
@@ -41,6 +41,6 @@
 
   it('has a place behind all others for what it does not know', t => {
     const order = new PriorityOrder({ routes, organisations: null });
-    t.is(order.placeOf(route({ priority: 9 }), null), 3);
+    t.is(order.positionOf(route({ priority: 9 }), null), 3);
   });
 });
--- a/packages/decisions/tests/gateway/excusedMs.test.ts
+++ b/packages/decisions/tests/gateway/excusedMs.test.ts
@@ -27,7 +27,7 @@
 describe('excusedMs', ({ it }) => {
   it('is what a prompt takes beyond the usual of its route', t => {
     const { board, request } = gatewayFixture([LONG], [replica('s-1')]);
-    board.demand.onAsked(LONG.id, 5000);
+    board.demand.onOffered(LONG.id, 5000);
     const best = (unreadTokens: number): PlacedCandidate =>
       ({ unreadTokens, ownReadMs: unreadTokens / 50 }) as PlacedCandidate;
     const excused = (tokens: number): number =>
--- a/packages/decisions/tests/gateway/helpers/gatewayFixture.ts
+++ b/packages/decisions/tests/gateway/helpers/gatewayFixture.ts
@@ -161,7 +161,7 @@
         route: of,
         service,
         organisation: null,
-        priority: table.priorities(service.id).placeOf(of, null),
+        priority: table.priorities(service.id).positionOf(of, null),
         prompt:
           parts.length === 0
             ? null
--- a/packages/decisions/tests/gateway/urgency.test.ts
+++ b/packages/decisions/tests/gateway/urgency.test.ts
@@ -163,7 +163,7 @@
     fixture.board.lengths.onEnded(INVOICE.id, 70);
     const [load] = [...fixture.board.backends.values()];
     Array.from({ length: 300 }).forEach(() => {
-      load?.onPause(100);
+      load?.onEventInterval(100);
     });
     t.not(send(fixture, INVOICE, 'k-0', 2000), null);
   });
@@ -180,7 +180,7 @@
       return;
     }
     Array.from({ length: 300 }).forEach(() => {
-      slow.onPause(700);
+      slow.onEventInterval(700);
     });
     busy.peers = { inFlight: 0, unreadByRank: [0, 20_000] };
     const check = send(fixture, CHECK, 'k-0', 500);
