--- a/packages/decisions/tests/gateway/AnswerLengths.test.ts
+++ b/packages/decisions/tests/gateway/AnswerLengths.test.ts
@@ -23,12 +23,13 @@
   expectedOutputTokens: null,
 });
 
-// Price checks have five events. Instances that had just started took forty for
-// granted and moved by three in a hundred with each answer: in the two seconds after
-// the restart of four of six instances, 30 of 47 price checks were refused with
-// a wait of 0.2 s and an end predicted after three.
+// Guards against a default length that is replaced too slowly. Price checks
+// have five events, but an instance that had just started assumed forty and
+// adjusted by 3 % per answer. In the two seconds after a restart of four of six
+// instances, 30 of 47 price checks were rejected with a wait of 0.2 s and a
+// predicted end after three seconds.
 describe('AnswerLengths', ({ it }) => {
-  it('takes the first answers for what they are', t => {
+  it('replaces the default length with the mean of the first answers', t => {
     const lengths = new AnswerLengths();
     lengths.onEnded(CHECK, 5);
     t.is(lengths.expect(CHECK, null, service), 5);
@@ -36,7 +37,7 @@
     t.is(lengths.expect(CHECK, null, service), 4);
   });
 
-  it('goes on following the newest answers', t => {
+  it('keeps following the newest answers', t => {
     const lengths = new AnswerLengths();
     Array.from({ length: 1000 }).forEach(() => {
       lengths.onEnded(CHECK, 5);
@@ -47,7 +48,7 @@
     t.true(lengths.usual(CHECK) > 19);
   });
 
-  it('knows from others what it has not seen itself', t => {
+  it('uses lengths reported by other instances', t => {
     const lengths = new AnswerLengths();
     lengths.onPeers([
       { route: CHECK, pieces: 4, answers: 30 },
@@ -58,7 +59,7 @@
     t.deepEqual(lengths.seen(CHECK), { route: CHECK, pieces: 0, answers: 0 });
   });
 
-  it('expects no more than the caller allows', t => {
+  it('caps the prediction at the output limit of the caller', t => {
     const lengths = new AnswerLengths();
     t.is(lengths.expect(CHECK, prompt(22), service), 5);
     t.is(lengths.expect(CHECK, prompt(0), service), 40);
--- a/packages/decisions/tests/gateway/ConfigurationHistory.test.ts
+++ b/packages/decisions/tests/gateway/ConfigurationHistory.test.ts
@@ -15,7 +15,7 @@
 
 const ids = fc.uniqueArray(fc.integer({ min: 0, max: 12 }), { maxLength: 9 });
 
-/** Configurations that share routes, organisations and limits, or don't. */
+/** Configurations that may share routes, organisations and limits. */
 const configurations = fc
   .record({
     routes: ids,
@@ -42,7 +42,7 @@
     };
   });
 
-/** Order means nothing in a configuration. */
+/** Sorts the lists of a configuration, since their order has no meaning. */
 function sorted(cfg: RoutingConfiguration): unknown {
   const byId = (a: { id: string }, b: { id: string }): number =>
     a.id < b.id ? -1 : 1;
@@ -55,15 +55,15 @@
 }
 
 describe('ConfigurationHistory', ({ it }) => {
-  // Instances that got changes, and instances that got the whole, must match each
-  // request with the same route.
-  it('leads from any version that is kept to the newest', t => {
+  // Instances that received changes must match each request to the same route
+  // as those that received the whole configuration.
+  it('provides changes that lead from any kept version to the newest', t => {
     fc.assert(
       fc.property(
         fc.array(configurations, { minLength: 2, maxLength: 6 }),
         fc.nat(),
-        (drawn, pick) => {
-          const versions = drawn.map((cfg, index) => ({
+        (generated, pick) => {
+          const versions = generated.map((cfg, index) => ({
             ...cfg,
             version: 3 * index + 1,
           }));
@@ -77,16 +77,16 @@
           if (!known || !newest) {
             return;
           }
-          const told = JSON.stringify(history.since(known.version));
-          const led = followChanges(known, JSON.parse(told) as never);
-          t.deepEqual(led && sorted(led), sorted(newest));
+          const json = JSON.stringify(history.since(known.version));
+          const result = followChanges(known, JSON.parse(json) as never);
+          t.deepEqual(result && sorted(result), sorted(newest));
         },
       ),
       { seed: 11 },
     );
   });
 
-  it('keeps what has not changed', t => {
+  it('shares unchanged items between versions', t => {
     const kept = route();
     const before = configuration([kept, route({ id: brand<RouteId>('r-2') })]);
     const after = {
@@ -97,14 +97,14 @@
     t.deepEqual(history.since(1)?.[0]?.routes, { put: [], removed: ['r-2'] });
   });
 
-  it('leads nowhere from a version that it does not know', t => {
+  it('provides no changes from an unknown version', t => {
     const history = new ConfigurationHistory(manualClock().now);
     history.record(configuration([]), configuration([], 4));
     t.is(history.since(2), null);
     t.is(followChanges(configuration([], 2), history.since(1) ?? []), null);
   });
 
-  it('tells what came within a time', t => {
+  it('provides the changes recorded within a period', t => {
     const clock = manualClock();
     const history = new ConfigurationHistory(clock.now);
     history.record(configuration([]), configuration([], 2));
--- a/packages/decisions/tests/gateway/EngineEstimator.test.ts
+++ b/packages/decisions/tests/gateway/EngineEstimator.test.ts
@@ -3,21 +3,26 @@
 import { EngineEstimator } from '../../src/gateway/EngineEstimator.js';
 
 describe('EngineEstimator', ({ it }) => {
-  // In light load prompts are read at 60 tokens a millisecond, in a burst at 27,
-  // since engines serve streams between. Drafts that were promised 600 ms came
-  // after 1,100: the mean of rates believed the many short waits.
-  it('predicts the queue of a burst by all tokens over all time', t => {
+  // Engines read prompts at 60 tokens per millisecond under light load, but at
+  // 27 in a burst because they serve streams in between. The mean of rates was
+  // dominated by the many short waits: long answers with a predicted wait of
+  // 600 ms started after 1,100 ms.
+  it('estimates the queue rate as total tokens over total time', t => {
     const estimator = new EngineEstimator();
     Array.from({ length: 200 }).forEach((_, index) => {
       const isQueued = index % 4 === 0;
-      const [tokens, perMs] = isQueued ? [40_000, 27] : [4000, 60];
-      estimator.onFirstEvent(0, tokens, estimator.baseMs + tokens / perMs);
+      const [tokens, tokensPerMs] = isQueued ? [40_000, 27] : [4000, 60];
+      estimator.onFirstEvent(
+        0,
+        tokens,
+        estimator.baseMs + tokens / tokensPerMs,
+      );
     });
     t.true(estimator.queueTokensPerMs(0) < 34);
     t.true(estimator.tokensPerMs > 45, `${estimator.tokensPerMs}`);
   });
 
-  it('learns how often deferred requests are overtaken, within bounds', t => {
+  it('learns the delay factor of deferred requests within bounds', t => {
     const estimator = new EngineEstimator();
     t.is(estimator.deferredDelayFactor(0), 1);
     Array.from({ length: 60 }).forEach(() => {
@@ -30,9 +35,10 @@
     t.true(estimator.deferredDelayFactor(0) <= 6);
   });
 
-  // Invoices were overtaken by price checks and met 16 tokens a millisecond; price
-  // checks that met 60 were taken for late, put behind the others and left there.
-  it('keeps what less urgent requests meet from urgent ones', t => {
+  // Less urgent invoices were overtaken by price checks and met 16 tokens per
+  // millisecond. With a common rate, price checks that met 60 were considered
+  // late, demoted and left waiting.
+  it('keeps estimates of urgent requests apart from those of less urgent ones', t => {
     const estimator = new EngineEstimator();
     const before = estimator.queueTokensPerMs(0);
     Array.from({ length: 200 }).forEach(() => {
--- a/packages/decisions/tests/gateway/GatewayRouter.test.ts
+++ b/packages/decisions/tests/gateway/GatewayRouter.test.ts
@@ -24,23 +24,23 @@
   gapTargetMs: 0,
   shares: [{ service: PLAIN, weight: 1 }],
 });
-const PLAINS = ['p-1', 'p-2', 'p-3'].map(name =>
+const REPLICAS = ['p-1', 'p-2', 'p-3'].map(name =>
   replica(name, { service: PLAIN, slots: 6 }),
 );
 
 describe('GatewayRouter', ({ describe: group, it }) => {
   group('configuration', ({ it: case_ }) => {
-    case_('never goes back to an older version', t => {
-      const { router, board } = gatewayFixture([CALL], PLAINS);
+    case_('ignores an older version', t => {
+      const { router, board } = gatewayFixture([CALL], REPLICAS);
       t.true(router.configure(configuration([], 9)));
       t.false(router.configure(configuration([CALL], 4)));
       t.is(board.table?.cfg.version, 9);
     });
 
     case_(
-      'refuses without claiming anything before a configuration is known',
+      'rejects requests with noRoutingKnown before a configuration is known',
       t => {
-        const { router, board } = gatewayFixture([CALL], PLAINS);
+        const { router, board } = gatewayFixture([CALL], REPLICAS);
         board.table = null;
         t.deepEqual(router.match('a.example', '/one/x', null), {
           kind: 'refused',
@@ -49,8 +49,8 @@
       },
     );
 
-    case_('tells an unknown key from an unknown route', t => {
-      const { router } = gatewayFixture([CALL], PLAINS);
+    case_('distinguishes an unknown key from an unknown route', t => {
+      const { router } = gatewayFixture([CALL], REPLICAS);
       router.configure({
         ...configuration([CALL], 2),
         organisations: [
@@ -69,8 +69,8 @@
   });
 
   group('leaving replicas', ({ it: case_ }) => {
-    case_('get nothing from the moment that their entry says so', t => {
-      const { router, board, request } = gatewayFixture([CALL], PLAINS);
+    case_('get no requests as soon as their entry says that they leave', t => {
+      const { router, board, request } = gatewayFixture([CALL], REPLICAS);
       const leaving = replica('p-1', { service: PLAIN, leaving: true });
       board.replicas.applyRows(
         [{ id: leaving.id, rowVersion: 5, replica: leaving }],
@@ -87,17 +87,17 @@
       });
     });
 
-    // A connection takes up to 400 ms to open, and a request that was placed before
-    // the leave waited for one.
-    case_('get nothing that was placed before and has not been sent', t => {
-      const { router, board, request } = gatewayFixture([CALL], PLAINS);
-      const asked = request(CALL);
-      const decision = router.place(asked, new Set());
+    // Opening a connection takes up to 400 ms; a request that was placed before
+    // the replica began to leave may still be waiting for one.
+    case_('get no request that was placed before and has not been sent', t => {
+      const { router, board, request } = gatewayFixture([CALL], REPLICAS);
+      const callerRequest = request(CALL);
+      const decision = router.place(callerRequest, new Set());
       if (decision.kind !== 'send') {
-        t.fail('nothing was placed');
+        t.fail('the request was rejected');
         return;
       }
-      const attempt = router.begin(asked, decision.placed, 1);
+      const attempt = router.begin(callerRequest, decision.placed, 1);
       t.true(router.mayReceive(attempt));
       const { id } = decision.placed.load.replica;
       const leaving = replica(id, { service: PLAIN, leaving: true });
@@ -107,18 +107,19 @@
     });
   });
 
-  group('silent replicas', ({ it: case_ }) => {
-    case_('lose their idempotent attempts and get no more', t => {
-      // Callers wait until their time is up: a replica is dark while its entry
-      // still stands. Its first requests show it, the next go elsewhere.
-      const { router, request, clock } = gatewayFixture([CALL], PLAINS);
-      const asked = request(CALL);
-      const decision = router.place(asked, new Set());
+  group('unresponsive replicas', ({ it: case_ }) => {
+    case_('lose their idempotent attempts and get no new requests', t => {
+      // Guards against callers that wait until their time limit because a
+      // replica has become unresponsive while its entry still exists. The first
+      // requests reveal it, and later ones go to other replicas.
+      const { router, request, clock } = gatewayFixture([CALL], REPLICAS);
+      const callerRequest = request(CALL);
+      const decision = router.place(callerRequest, new Set());
       if (decision.kind !== 'send') {
-        t.fail('nothing was sent');
+        t.fail('the request was rejected');
         return;
       }
-      const attempt = router.begin(asked, decision.placed, 1);
+      const attempt = router.begin(callerRequest, decision.placed, 1);
       t.deepEqual(router.findSilent(), []);
       clock.advance(800);
       t.deepEqual(router.findSilent(), [attempt]);
@@ -130,41 +131,41 @@
       });
     });
 
-    case_('keep what may not run twice', t => {
+    case_('keep attempts that may not run twice', t => {
       const unsafe = route({ ...CALL, kind: 'unsafe' });
-      const { router, request, clock } = gatewayFixture([unsafe], PLAINS);
-      const asked = request(unsafe);
-      const decision = router.place(asked, new Set());
+      const { router, request, clock } = gatewayFixture([unsafe], REPLICAS);
+      const callerRequest = request(unsafe);
+      const decision = router.place(callerRequest, new Set());
       if (decision.kind === 'send') {
-        router.begin(asked, decision.placed, 1);
+        router.begin(callerRequest, decision.placed, 1);
       }
       clock.advance(1500);
       t.deepEqual(router.findSilent(), []);
     });
 
-    case_('keep their attempt when it could not go on elsewhere', t => {
-      // A caller gets an error long before its time is up: the replica is only
-      // slow, the attempt was given up, and no second one was allowed.
+    case_('keep an attempt that could not be moved to another replica', t => {
+      // Guards against an early error for the caller: the replica is only slow,
+      // and if the attempt were withdrawn, no second one would be allowed.
       const once = route({ ...CALL, maxAttempts: 1 });
-      const { router, request, clock } = gatewayFixture([once], PLAINS);
-      const asked = request(once);
-      const decision = router.place(asked, new Set());
+      const { router, request, clock } = gatewayFixture([once], REPLICAS);
+      const callerRequest = request(once);
+      const decision = router.place(callerRequest, new Set());
       if (decision.kind === 'send') {
-        router.begin(asked, decision.placed, 1);
+        router.begin(callerRequest, decision.placed, 1);
       }
       clock.advance(1500);
       t.deepEqual(router.findSilent(), []);
     });
 
-    case_('are used all the same when there is no other', t => {
+    case_('are still used if there is no other replica', t => {
       const { router, request, clock } = gatewayFixture(
         [CALL],
-        PLAINS.slice(0, 1),
+        REPLICAS.slice(0, 1),
       );
-      const asked = request(CALL);
-      const decision = router.place(asked, new Set());
+      const callerRequest = request(CALL);
+      const decision = router.place(callerRequest, new Set());
       if (decision.kind === 'send') {
-        router.begin(asked, decision.placed, 1);
+        router.begin(callerRequest, decision.placed, 1);
       }
       clock.advance(1500);
       t.is(router.place(request(CALL), new Set()).kind, 'send');
@@ -174,19 +175,19 @@
   group('replicas that lose answers', ({ it: case_ }) => {
     const UNSAFE = route({ ...CALL, kind: 'unsafe', maxAttempts: 1 });
 
-    /** Sends to one replica; answers what is sent except the first few. */
-    const losing = (lost: number) => {
-      const fixture = gatewayFixture([UNSAFE], PLAINS.slice(0, 2));
+    /** Sends requests to one replica, which answers all but the first few. */
+    const losingAnswers = (lost: number) => {
+      const fixture = gatewayFixture([UNSAFE], REPLICAS.slice(0, 2));
       const { router, request, clock } = fixture;
       const other = new Set([brand<BackendServerId>('p-2')]);
       const sent = Array.from({ length: lost + 4 }, (_, index) => {
         clock.advance(20);
-        const asked = request(UNSAFE);
-        const decision = router.place(asked, other);
+        const callerRequest = request(UNSAFE);
+        const decision = router.place(callerRequest, other);
         if (decision.kind !== 'send') {
-          throw new Error('nothing was sent');
+          throw new Error('the request was rejected');
         }
-        const attempt = router.begin(asked, decision.placed, 1);
+        const attempt = router.begin(callerRequest, decision.placed, 1);
         if (index >= lost) {
           clock.advance(20);
           router.onBytes(attempt);
@@ -197,11 +198,11 @@
       return { ...fixture, sent };
     };
 
-    case_('get nothing more, though they answer others', t => {
-      // Callers wait for eight seconds and leave: the replica runs their requests
-      // and their answers never come. Later requests there are answered, so it
-      // looks alive and goes on getting more.
-      const { router, request, clock } = losing(2);
+    case_('get no new requests even though they answer others', t => {
+      // Guards against a replica that runs requests but loses some answers,
+      // whose callers leave after eight seconds. It answers later requests, so
+      // it looks responsive and would keep getting more.
+      const { router, request, clock } = losingAnswers(2);
       clock.advance(1000);
       Array.from({ length: 10 }).forEach(() => {
         const decision = router.place(request(UNSAFE), new Set());
@@ -212,51 +213,54 @@
       });
     });
 
-    case_('are blamed when the caller leaves, unlike others', t => {
-      const { router, clock, sent } = losing(3);
-      clock.advance(1000);
-      const [first] = sent;
-      const before = first?.load.health.failureShare ?? 1;
-      if (first) {
-        router.onEnded(first, { kind: 'withdrawn', reason: 'callerLeft' });
-      }
-      t.true((first?.load.health.failureShare ?? 0) > before);
-    });
+    case_(
+      'have a failure recorded when the caller leaves, unlike other replicas',
+      t => {
+        const { router, clock, sent } = losingAnswers(3);
+        clock.advance(1000);
+        const [first] = sent;
+        const before = first?.load.health.failureShare ?? 1;
+        if (first) {
+          router.onEnded(first, { kind: 'withdrawn', reason: 'callerLeft' });
+        }
+        t.true((first?.load.health.failureShare ?? 0) > before);
+      },
+    );
 
-    case_('are not suspected for one slow answer', t => {
-      const { router, request, clock } = losing(1);
+    case_('are not avoided for one slow answer', t => {
+      const { router, request, clock } = losingAnswers(1);
       clock.advance(650);
-      const goesToFirst = (): boolean => {
+      const isSentToFirst = (): boolean => {
         const decision = router.place(request(UNSAFE), new Set());
         return (
           decision.kind === 'send' &&
           (decision.placed.load.replica.id as string) === 'p-1'
         );
       };
-      t.true(Array.from({ length: 20 }).some(goesToFirst));
+      t.true(Array.from({ length: 20 }).some(isSentToFirst));
     });
   });
 
-  it('splits the connections of a replica among the instances', t => {
-    const { board, request, router } = gatewayFixture([CALL], PLAINS);
+  it('divides the connections of a replica among the instances', t => {
+    const { board, request, router } = gatewayFixture([CALL], REPLICAS);
     router.onInstances(['a', 'b', 'c', 'd'].map(id => brand<InstanceId>(id)));
     t.is(connectionShare(board, request(CALL)), 19);
   });
 
-  it('takes a second try for one by the time that its caller has left', t => {
-    const { router } = gatewayFixture([CALL], PLAINS);
+  it("detects a caller's retry by the time that it has left", t => {
+    const { router } = gatewayFixture([CALL], REPLICAS);
     t.false(router.cameBack(CALL, 4000));
     t.false(router.cameBack(CALL, 3990));
     t.true(router.cameBack(CALL, 2900));
   });
 
-  it('never sends a request to a replica that it was sent to before', t => {
-    const { router, request } = gatewayFixture([CALL], PLAINS);
+  it('never sends a request to the same replica twice', t => {
+    const { router, request } = gatewayFixture([CALL], REPLICAS);
     const tried = new Set(['p-1', 'p-2'].map(id => brand<BackendServerId>(id)));
     const decision = router.place(request(CALL), tried);
     t.true(
       decision.kind === 'send' &&
-        decision.placed.load.replica.id === PLAINS[2]?.id,
+        decision.placed.load.replica.id === REPLICAS[2]?.id,
     );
   });
 });
--- a/packages/decisions/tests/gateway/PeerLoadTracker.test.ts
+++ b/packages/decisions/tests/gateway/PeerLoadTracker.test.ts
@@ -21,11 +21,11 @@
   replica(name, { service: PLAIN, slots: 6 }),
 );
 
-describe('PeerWorkBook', ({ it }) => {
-  // Sixty instances hear of some ten others in time. Chefs' answers stop while
-  // invoices are read, since each instance sees a fifth of the demand and splits
-  // the replicas for that.
-  it('takes the instances that it hears of for all of them', t => {
+describe('PeerLoadTracker', ({ it }) => {
+  // In a fleet of sixty, an instance has recent reports of about ten others.
+  // Without scaling, each instance saw a fifth of the demand and split the
+  // replicas for that; live answers then stalled while invoices were read.
+  it('scales the reported work up to all instances', t => {
     const { router, board } = gatewayFixture([CALL], PLAINS);
     const fleet = Array.from({ length: 61 }, (_, index) =>
       brand<InstanceId>(`e-${index}`),
@@ -51,13 +51,14 @@
     t.is(Math.round(board.demand.total([CALL.id]).tokensPerS), 600);
   });
 
-  // One instance of sixty sends requests to a replica whose queue others have
-  // filled: it has not had an answer there for seconds. What the replica told
-  // any of them must count, and an old word must not replace a newer one.
-  it('knows how full a replica is from what it told others', t => {
+  // An instance of sixty may not have had an answer from a replica for seconds,
+  // and would send requests there although others have filled its queue. A
+  // report that any instance received must count, and an older report must not
+  // replace a newer one.
+  it('uses the newest load report that any instance received', t => {
     const { router, board } = gatewayFixture([CALL], PLAINS);
     const id = brand<BackendServerId>('p-1');
-    const told = (total: number, ageMs: number): void => {
+    const relay = (total: number, ageMs: number): void => {
       router.onPeerWork(brand<InstanceId>('e-1'), {
         uses: [],
         demands: [],
@@ -65,13 +66,13 @@
         reports: [{ id, bornMs: null, total, ageMs }],
       });
     };
-    told(9, 200);
-    told(2, 700);
+    relay(9, 200);
+    relay(2, 700);
     t.is(board.backends.get(id)?.totalInFlight, 9);
     t.deepEqual(router.heardReports, [
       { id, bornMs: null, total: 9, ageMs: 200 },
     ]);
-    told(4, 100);
+    relay(4, 100);
     t.is(board.backends.get(id)?.totalInFlight, 4);
   });
 });
--- a/packages/decisions/tests/gateway/PriorityOrder.test.ts
+++ b/packages/decisions/tests/gateway/PriorityOrder.test.ts
@@ -11,35 +11,35 @@
   priority,
 });
 const routes = [2, 0, 1].map(priority => route({ priority }));
-const placesOf = (
+const positionsOf = (
   order: PriorityOrder,
   caller: RoutedOrganisation | null,
 ): readonly number[] => routes.map(entry => order.positionOf(entry, caller));
 
 describe('PriorityOrder', ({ it }) => {
-  it('puts the route first and the organisation second', t => {
+  it('orders by route first and by organisation second', t => {
     const [first, second] = [organisation(0), organisation(4)];
     const order = new PriorityOrder({
       routes,
       organisations: [second, first],
     });
     t.is(order.count, 6);
-    t.deepEqual(placesOf(order, first), [4, 0, 2]);
-    t.deepEqual(placesOf(order, second), [5, 1, 3]);
+    t.deepEqual(positionsOf(order, first), [4, 0, 2]);
+    t.deepEqual(positionsOf(order, second), [5, 1, 3]);
   });
 
-  it('is that of the routes for callers without a priority', t => {
+  it('orders callers without a priority by route', t => {
     const caller = organisation(null);
     const order = new PriorityOrder({ routes, organisations: [caller] });
-    t.deepEqual(placesOf(order, caller), [2, 0, 1]);
+    t.deepEqual(positionsOf(order, caller), [2, 0, 1]);
   });
 
-  it('needs no organisations', t => {
+  it('orders routes without any organisations', t => {
     const order = new PriorityOrder({ routes, organisations: null });
-    t.deepEqual(placesOf(order, null), [2, 0, 1]);
+    t.deepEqual(positionsOf(order, null), [2, 0, 1]);
   });
 
-  it('has a place behind all others for what it does not know', t => {
+  it('puts unknown routes after all others', t => {
     const order = new PriorityOrder({ routes, organisations: null });
     t.is(order.positionOf(route({ priority: 9 }), null), 3);
   });
--- a/packages/decisions/tests/gateway/ReplicaHealth.test.ts
+++ b/packages/decisions/tests/gateway/ReplicaHealth.test.ts
@@ -4,9 +4,9 @@
 import { manualClock } from './helpers/gatewayFixture.js';
 
 describe('ReplicaHealth', ({ it }) => {
-  it('avoids a replica that fails in a row, then probes one request at a time', t => {
-    // Callers see errors although the replica announces itself as ready: each
-    // request sent there fails. After some failures it gets single probes only.
+  it('avoids a replica after consecutive failures, then sends one probe at a time', t => {
+    // Guards against a replica that announces itself as ready but fails each
+    // request. After some failures it gets single probes only.
     const clock = manualClock();
     const health = new ReplicaHealth(clock.now);
     [1, 2, 3].forEach(() => {
@@ -27,7 +27,7 @@
     t.is(health.verdict, 'good');
   });
 
-  it('avoids for longer after each failed probe', t => {
+  it('avoids a replica for longer after each failed probe', t => {
     const clock = manualClock();
     const health = new ReplicaHealth(clock.now);
     [1, 2, 3].forEach(() => {
@@ -43,8 +43,8 @@
   });
 
   it('trusts a replica that fails no more than the others', t => {
-    // Every replica of the service fails a third of one kind of request by
-    // itself. To avoid them all for that would leave nobody to ask.
+    // If every replica of the service fails a third of one kind of request by
+    // itself, avoiding all of them would leave none to use.
     const health = new ReplicaHealth(manualClock().now);
     Array.from({ length: 60 }).forEach((_, index) => {
       if (index % 3 === 0) {
@@ -56,7 +56,7 @@
     t.is(health.verdict, 'good');
   });
 
-  it('avoids a replica that fails nearly half of its requests, alone', t => {
+  it('avoids a replica that alone fails half of its requests', t => {
     const health = new ReplicaHealth(manualClock().now);
     Array.from({ length: 40 }).forEach((_, index) => {
       if (index % 2 === 0) {
--- a/packages/decisions/tests/gateway/ReplicaRegistry.test.ts
+++ b/packages/decisions/tests/gateway/ReplicaRegistry.test.ts
@@ -29,7 +29,7 @@
   registry.replicas.map(({ id }) => id as string).sort();
 
 describe('ReplicaRegistry', ({ describe: group, it }) => {
-  it('tells only of changes that matter, not of heartbeats', t => {
+  it('reports changes of content, but not heartbeats', t => {
     const registry = new ReplicaRegistry(storeClockOn(manualClock()));
     t.is(registry.applyRows([row('a', 1)], 1, 0)[0]?.kind, 'added');
     t.deepEqual(registry.applyRows([row('a', 5)], 5, 0), []);
@@ -38,9 +38,10 @@
     t.is(registry.applyRows([removed('a', 7)], 7, 0)[0]?.kind, 'gone');
   });
 
-  it('never goes back when older rows come late', t => {
-    // A user's request goes to a replica that has left: a slow instance hands on
-    // an entry that was replaced meanwhile. The store's version must decide.
+  it('ignores older rows that arrive late', t => {
+    // Guards against requests to a replica that has left: a slow instance may
+    // relay an entry that has been replaced in the meantime. The store's
+    // version must decide.
     const registry = new ReplicaRegistry(storeClockOn(manualClock()));
     registry.applyRows([row('a', 8, true)], 8, 0);
     registry.applyRows([row('a', 4)], 4, 0);
@@ -48,10 +49,11 @@
     t.is(registry.version, 8);
   });
 
-  // A replica leaves while an instance is out of touch. A datagram that tells of the
-  // newest changes alone must not make its view count as complete: it would go on
-  // sending to the replica, and nobody would tell it again.
-  it('takes no changes that leave a gap', t => {
+  // A replica may leave while an instance is disconnected. A datagram with only
+  // the newest changes must not make that instance's view count as complete: it
+  // would keep sending to the replica, and no instance would report the change
+  // again.
+  it('does not accept changes that leave a gap', t => {
     const source = new ReplicaRegistry(storeClockOn(manualClock()));
     source.applyRows([row('a', 1), row('b', 2)], 2, 0);
     const behind = new ReplicaRegistry(storeClockOn(manualClock()));
@@ -66,9 +68,10 @@
   });
 
   group('after an outage of the store', ({ it: case_ }) => {
-    // Users get refusals though all replicas live: the store was away, entries
-    // ran out meanwhile and come back within seconds of its return.
-    case_('keeps live replicas until their time to come back is up', t => {
+    // Guards against rejections although all replicas are alive: during an
+    // outage of the store, their entries expire, and they come back within
+    // seconds of its return.
+    case_('keeps live replicas until the time to come back has passed', t => {
       const clock = manualClock();
       const registry = new ReplicaRegistry(storeClockOn(clock));
       registry.applySnapshot([row('a', 1), row('b', 2)], 2, 0);
@@ -92,24 +95,27 @@
       t.deepEqual(idsOf(registry), ['a']);
     });
 
-    case_('drops a replica that was leaving before at once', t => {
-      const registry = new ReplicaRegistry(storeClockOn(manualClock()));
-      registry.applySnapshot([row('a', 1, true)], 1, 0);
-      registry.expectLapses(2500);
-      registry.applyRows([removed('a', 9)], 9, 0);
-      t.deepEqual(idsOf(registry), []);
-    });
+    case_(
+      'immediately drops a replica that was leaving before the outage',
+      t => {
+        const registry = new ReplicaRegistry(storeClockOn(manualClock()));
+        registry.applySnapshot([row('a', 1, true)], 1, 0);
+        registry.expectLapses(2500);
+        registry.applyRows([removed('a', 9)], 9, 0);
+        t.deepEqual(idsOf(registry), []);
+      },
+    );
   });
 
-  group('a replica that starts again under its id', ({ it: case_ }) => {
+  group('a replica that restarts under the same id', ({ it: case_ }) => {
     const run = (rowVersion: number, bornMs: number): ReplicaRow => ({
       ...row('a', rowVersion),
       replica: replica('a', { bornMs, address: `127.0.0.1:${bornMs}` }),
     });
-    const bornOf = (registry: ReplicaRegistry): number | null | undefined =>
+    const startOf = (registry: ReplicaRegistry): number | null | undefined =>
       registry.find(brand<BackendServerId>('a'))?.bornMs;
 
-    case_('is told apart from a heartbeat', t => {
+    case_('is distinguished from a heartbeat', t => {
       const registry = new ReplicaRegistry(storeClockOn(manualClock()));
       registry.applyRows([run(1, 10)], 1, 0);
       t.deepEqual(registry.applyRows([run(2, 10)], 2, 0), []);
@@ -117,50 +123,55 @@
       t.is(changes[0]?.kind, 'restarted');
     });
 
-    // A replica crashes while its last report is on the way. The store carries
-    // that out seconds later, when the next run has reported: the old address
-    // would come back, and requests would go where nobody listens.
-    case_('is not replaced by a late report of the run before', t => {
+    // A replica may crash while its last report is in transit. If the store
+    // applies that report seconds later, after one of the next run, the old
+    // address would come back and requests would go where no replica listens.
+    case_('is not replaced by a late report of the previous run', t => {
       const registry = new ReplicaRegistry(storeClockOn(manualClock()));
       registry.applyRows([run(1, 10), run(2, 20)], 2, 0);
       t.deepEqual(registry.applyRows([run(3, 10)], 3, 0), []);
-      t.is(bornOf(registry), 20);
+      t.is(startOf(registry), 20);
       registry.applyRows([removed('a', 4)], 4, 0);
       registry.applyRows([run(5, 10)], 5, 0);
       t.is(registry.find(brand<BackendServerId>('a')), undefined);
     });
 
-    // Instance two has read a late report of the run before and hands it on.
-    case_('is not replaced by what another instance took for newer', t => {
-      const clock = manualClock();
-      const [one, two] = [
-        new ReplicaRegistry(storeClockOn(clock)),
-        new ReplicaRegistry(storeClockOn(clock)),
-      ];
-      one.applyRows([run(1, 10), run(2, 20)], 2, 0);
-      two.applyRows([run(3, 10)], 3, 0);
-      t.deepEqual(one.merge(two.changesSince(2)), []);
-      t.is(bornOf(one), 20);
-    });
+    // The second instance has read a late report of the previous run and relays
+    // it.
+    case_(
+      'is not replaced by a previous run that another instance relays as newer',
+      t => {
+        const clock = manualClock();
+        const [one, two] = [
+          new ReplicaRegistry(storeClockOn(clock)),
+          new ReplicaRegistry(storeClockOn(clock)),
+        ];
+        one.applyRows([run(1, 10), run(2, 20)], 2, 0);
+        two.applyRows([run(3, 10)], 3, 0);
+        t.deepEqual(one.merge(two.changesSince(2)), []);
+        t.is(startOf(one), 20);
+      },
+    );
 
-    case_('keeps its start when an entry does not say it', t => {
+    case_('keeps its start if an entry does not contain it', t => {
       const registry = new ReplicaRegistry(storeClockOn(manualClock()));
       registry.applyRows([run(1, 10), row('a', 2)], 2, 0);
-      t.is(bornOf(registry), 10);
+      t.is(startOf(registry), 10);
       t.is(registry.applyRows([run(3, 20)], 3, 0)[0]?.kind, 'restarted');
     });
   });
 
-  it('takes entries that a full read lacks for removed', t => {
+  it('removes entries that a full read does not contain', t => {
     const registry = new ReplicaRegistry(storeClockOn(manualClock()));
     registry.applySnapshot([row('a', 1), row('b', 2)], 2, 0);
     registry.applySnapshot([row('b', 7)], 9, 0);
     t.deepEqual(idsOf(registry), ['b']);
   });
 
-  it('agrees with the store however its changes travel between instances', t => {
-    // Instances hand changes on while messages are lost, late, repeated and out
-    // of order. Whoever has heard of a version must see what the store had then.
+  it('agrees with the store however its changes are relayed between instances', t => {
+    // Instances relay changes while messages are lost, delayed, repeated and
+    // reordered. A view at some version must equal the contents of the store at
+    // that version.
     fc.assert(
       fc.property(
         fc.array(
@@ -190,7 +201,7 @@
               ? removed(name, index + 1)
               : row(name, index + 1, what === 'leave'),
           );
-          const truthAt = (version: number): readonly string[] => {
+          const contentsAt = (version: number): readonly string[] => {
             const last = new Map(
               rows.slice(0, version).map(entry => [entry.id as string, entry]),
             );
@@ -233,7 +244,7 @@
                 target.merge(changes);
               }
             }
-            t.deepEqual(idsOf(target), truthAt(target.version));
+            t.deepEqual(idsOf(target), contentsAt(target.version));
           });
         },
       ),
--- a/packages/decisions/tests/gateway/RetryBudget.test.ts
+++ b/packages/decisions/tests/gateway/RetryBudget.test.ts
@@ -6,9 +6,10 @@
 const RULES = { ratio: 0.2, extra: 50, windowMs: 10_000 };
 
 describe('RetryBudget', ({ it }) => {
-  it('keeps the sum over all instances within the bound', t => {
-    // A failing service gets slower still: each of eight instances retries by a
-    // bound of its own, and together they send eight times what is allowed.
+  it('keeps the retries of all instances together within the limit', t => {
+    // Guards against each of eight instances applying the whole limit: together
+    // they would send eight times the allowed retries and slow a failing
+    // service further.
     const clock = manualClock();
     const budgets = Array.from({ length: 8 }, () => {
       const budget = new RetryBudget(RULES, clock.now);
@@ -29,9 +30,10 @@
     t.true(sum <= RULES.ratio * 320 + RULES.extra);
   });
 
-  it('does not grow its part at once when peers fall out of sight', t => {
-    // During a partition each side sees few peers. Were the extra part split by
-    // those alone, both sides together would take twice as much.
+  it('does not increase its part immediately when peers disappear', t => {
+    // During a network partition, each side sees few peers. If the extra part
+    // were divided by these alone, both sides together would use twice the
+    // limit.
     const clock = manualClock();
     const budget = new RetryBudget(RULES, clock.now);
     budget.onInstances(10);
@@ -43,7 +45,7 @@
     t.true(budget.left(SERVICE) > before);
   });
 
-  it('forgets repeats after the window', t => {
+  it('releases retries after the window', t => {
     const clock = manualClock();
     const budget = new RetryBudget({ ...RULES, extra: 2 }, clock.now);
     t.true(budget.take(SERVICE));
--- a/packages/decisions/tests/gateway/RoutingTable.test.ts
+++ b/packages/decisions/tests/gateway/RoutingTable.test.ts
@@ -34,7 +34,7 @@
     });
   });
 
-  it('knows an organisation by each of its keys and by no other', t => {
+  it('finds an organisation by each of its keys and by no other', t => {
     const table = new RoutingTable({
       ...configuration([]),
       organisations: [
--- a/packages/decisions/tests/gateway/StoreClock.test.ts
+++ b/packages/decisions/tests/gateway/StoreClock.test.ts
@@ -4,50 +4,53 @@
 import { StoreClock } from '../../src/index.js';
 import { manualClock } from './helpers/gatewayFixture.js';
 
-/** What the store's clock shows when the local one stands at zero. */
+/** Time on the store's clock when the local clock is at zero. */
 const OFFSET_MS = 70_000;
 
 describe('StoreClock', ({ it }) => {
-  it('knows no age before it was read', t => {
+  it('returns an infinite age before the first reading', t => {
     const storeClock = new StoreClock(manualClock().now);
     t.is(storeClock.ageOf(OFFSET_MS), Infinity);
     t.false(storeClock.isAhead(OFFSET_MS));
   });
 
-  // An answer that waited for 600 ms in an instance without processor counted as
-  // new when it was read. However long questions and answers take, no age may come
-  // out too short, and the fastest question decides by how much it is too long.
-  it('never takes a moment for younger than it is', t => {
+  // An answer that waited 600 ms in an instance without processor time was
+  // considered new when it was read. No age may come out too short however long
+  // requests and answers take, and the fastest request limits by how much it is
+  // too long.
+  it('never underestimates an age', t => {
     const exchange = fc.record({
       pauseMs: fc.integer({ min: 0, max: 2000 }),
-      goesMs: fc.integer({ min: 0, max: 800 }),
-      comesMs: fc.integer({ min: 0, max: 800 }),
+      requestMs: fc.integer({ min: 0, max: 800 }),
+      responseMs: fc.integer({ min: 0, max: 800 }),
     });
     fc.assert(
       fc.property(fc.array(exchange, { minLength: 1 }), exchanges => {
         const clock = manualClock();
         const storeClock = new StoreClock(clock.now);
-        exchanges.forEach(({ pauseMs, goesMs, comesMs }) => {
+        exchanges.forEach(({ pauseMs, requestMs, responseMs }) => {
           clock.advance(pauseMs);
           const askedMs = clock.now();
-          clock.advance(goesMs);
+          clock.advance(requestMs);
           const storeMs = OFFSET_MS + clock.now();
-          clock.advance(comesMs);
+          clock.advance(responseMs);
           storeClock.read(storeMs, askedMs);
         });
         const trueMs = OFFSET_MS + clock.now();
-        const fastestMs = Math.min(...exchanges.map(({ goesMs }) => goesMs));
-        const drifted = 0.0005 * clock.now();
-        const tooLateMs = storeClock.latestMs - trueMs;
-        t.true(tooLateMs >= 0 && tooLateMs <= fastestMs + drifted + 1e-6);
+        const fastestMs = Math.min(
+          ...exchanges.map(({ requestMs }) => requestMs),
+        );
+        const driftMs = 0.0005 * clock.now();
+        const excessMs = storeClock.latestMs - trueMs;
+        t.true(excessMs >= 0 && excessMs <= fastestMs + driftMs + 1e-6);
       }),
       { seed: 7 },
     );
   });
 
-  // A machine is suspended and its clock does not count that time. What it knows of
-  // the store's clock is then behind, and old views would pass for young ones.
-  it('starts anew when the clock is further than it may be', t => {
+  // While a machine is suspended, its clock may not advance. Its bound on the
+  // store's clock is then too low, and old views would seem recent.
+  it('discards earlier readings when the clock is ahead of its bound', t => {
     const clock = manualClock();
     const storeClock = new StoreClock(clock.now);
     storeClock.read(OFFSET_MS, clock.now());
--- a/packages/decisions/tests/gateway/excusedMs.test.ts
+++ b/packages/decisions/tests/gateway/excusedMs.test.ts
@@ -6,26 +6,26 @@
 
 const LONG = route();
 
-/** Sends prompts of usual size until one is turned away. */
-function filled() {
+/** Sends prompts of the usual size until one is rejected. */
+function fillQueue() {
   const fixture = gatewayFixture([LONG], [replica('s-1')]);
   const { router, request } = fixture;
   let serial = 0;
   const place = (tokens: number) => {
     serial += 1;
-    const asked = request(LONG, [{ id: `p-${serial}`, tokens }]);
-    return { asked, decision: router.place(asked, new Set()) };
+    const callerRequest = request(LONG, [{ id: `p-${serial}`, tokens }]);
+    return { callerRequest, decision: router.place(callerRequest, new Set()) };
   };
   let next = place(10_000);
   while (next.decision.kind === 'send') {
-    router.begin(next.asked, next.decision.placed, 1);
+    router.begin(next.callerRequest, next.decision.placed, 1);
     next = place(10_000);
   }
   return { ...fixture, place };
 }
 
 describe('excusedMs', ({ it }) => {
-  it('is what a prompt takes beyond the usual of its route', t => {
+  it('is the reading time beyond the usual size of the route', t => {
     const { board, request } = gatewayFixture([LONG], [replica('s-1')]);
     board.demand.onOffered(LONG.id, 5000);
     const best = (unreadTokens: number): PlacedCandidate =>
@@ -38,25 +38,25 @@
     t.is(excused(0), 0);
   });
 
-  // Queues stand at the bound, since admission fills them up to it. A prompt of three
-  // times the usual size was then refused wherever one of usual size still had room,
-  // came back to the same queue and was refused again.
-  it('lets a large request in where one of the usual size is', t => {
-    const { place, router, board } = filled();
+  // Admission fills queues up to its bound. A prompt of three times the usual
+  // size was therefore rejected while one of the usual size still fitted, came
+  // back to the same queue and was rejected again.
+  it('admits a large request where one of the usual size is admitted', t => {
+    const { place, router, board } = fillQueue();
     const last = [...(board.backends.values().next().value?.attempts ?? [])];
     const ended = last.at(-1);
     if (!ended) {
-      t.fail('nothing was let in');
+      t.fail('no request was admitted');
       return;
     }
     t.is(place(30_000).decision.kind, 'refuse');
-    // One of usual size ends, so that another has room.
+    // One prompt of the usual size ends, so that another fits.
     router.onEnded(ended, { kind: 'answered', status: 200 });
     t.is(place(30_000).decision.kind, 'send');
   });
 
-  it('lets nothing in that its caller would not wait for', t => {
-    const { place, router, board } = filled();
+  it('admits no request that its caller would not wait for', t => {
+    const { place, router, board } = fillQueue();
     const ended = [
       ...(board.backends.values().next().value?.attempts ?? []),
     ].at(-1);
--- a/packages/decisions/tests/gateway/helpers/gatewayFixture.ts
+++ b/packages/decisions/tests/gateway/helpers/gatewayFixture.ts
@@ -24,7 +24,7 @@
 export const SERVICE = brand<ServiceId>('chat');
 export const PLAIN = brand<ServiceId>('stock');
 
-/** A clock that stands until it is moved. */
+/** A clock that only advances on request. */
 export interface ManualClock {
   readonly now: () => number;
   readonly advance: (ms: number) => void;
@@ -40,7 +40,9 @@
   };
 }
 
-/** The store's clock, as one who has just read it on a clock of its own knows it. */
+/**
+ * Creates a store clock that has just been read and runs like a local clock.
+ */
 export function storeClockOn(clock: ManualClock): StoreClock {
   const storeClock = new StoreClock(clock.now);
   storeClock.read(clock.now(), clock.now());
@@ -112,7 +114,7 @@
   };
 }
 
-/** A router with a configuration and replicas of the engine service. */
+/** A router with a configuration and replicas. */
 export interface GatewayFixture {
   readonly clock: ManualClock;
   readonly board: GatewayBoard;
--- a/packages/decisions/tests/gateway/readDuty.test.ts
+++ b/packages/decisions/tests/gateway/readDuty.test.ts
@@ -24,10 +24,11 @@
   ageMs >= readAtAgeMs(rank, boundMs);
 
 describe('readDuty', ({ it }) => {
-  // With two hundred instances most views were older than two seconds now and
-  // then, and each of those instances read the store: three thousand calls in half
-  // a minute, half of them for what any reader could have told.
-  it('names the same readers everywhere, whom others ask before they read', t => {
+  // Guards against superfluous reads of the store. In a fleet of two hundred,
+  // most views were older than two seconds now and then, and each of these
+  // instances read the store: three thousand calls in half a minute, half of
+  // them for what a reader could have told.
+  it('selects the same readers on all instances, which others query before they read the store', t => {
     const readers = readersOf(FLEET);
     t.deepEqual(readersOf([...FLEET].reverse()), readers);
     FLEET.forEach(id => {
@@ -39,7 +40,7 @@
     });
   });
 
-  it('gives every instance a place of its own', t => {
+  it('gives every instance of a fleet of sixty a distinct rank', t => {
     const ranks = FLEET.map(id => rankOf(id, FLEET)).sort((a, b) => a - b);
     t.deepEqual(
       ranks,
@@ -47,24 +48,25 @@
     );
   });
 
-  it('lets only the first two read while the view is young', t => {
+  it('lets only the first two instances read while the view is recent', t => {
     const reading = FLEET.filter(id =>
       shouldRead(rankOf(id, FLEET), 500, BOUND_MS),
     );
     t.is(reading.length, 2);
   });
 
-  // In a fleet of sixty, news that nothing has changed takes a second or more
-  // to get around. If everybody read the store at that age, each would call it
-  // several times a second, the more the busier they are.
-  it('does not let a large fleet read at the usual age of its view', t => {
+  // In a fleet of sixty, it takes a second or more until all instances know
+  // that nothing has changed. If each of them read the store at that age, each
+  // would call it several times per second, and more often the busier the
+  // instances are.
+  it('lets only the readers read at the usual age of views in a large fleet', t => {
     const reading = FLEET.filter(id =>
       shouldRead(rankOf(id, FLEET), 1300, BOUND_MS),
     );
     t.is(reading.length, 2);
   });
 
-  it('lets everybody read before the time is up', t => {
+  it('lets all instances read before a change must be in force', t => {
     const reading = FLEET.filter(id =>
       shouldRead(rankOf(id, FLEET), 0.66 * BOUND_MS, BOUND_MS),
     );
@@ -77,7 +79,7 @@
     brand<InstanceId>(`n-${index}`),
   );
 
-  it('gives every instance another rank', t => {
+  it('gives every instance a distinct rank', t => {
     const ranks = ids.map(id => rankOf(id, ids)).sort((a, b) => a - b);
     t.deepEqual(
       ranks,
@@ -85,12 +87,16 @@
     );
   });
 
-  it('lets a few read, and all others once their view is old', t => {
-    // The instances that read die or lose the store; the others must notice
-    // before a change is due everywhere.
-    const fresh = ids.filter(id => shouldRead(rankOf(id, ids), 300, 2000));
-    const stale = ids.filter(id => shouldRead(rankOf(id, ids), 1400, 2000));
-    t.is(fresh.length, 2);
-    t.is(stale.length, ids.length);
+  it('lets two instances read, and all others once their view is old', t => {
+    // If the readers die or lose the store, the others must notice before a
+    // change is due everywhere.
+    const readingRecent = ids.filter(id =>
+      shouldRead(rankOf(id, ids), 300, 2000),
+    );
+    const readingOld = ids.filter(id =>
+      shouldRead(rankOf(id, ids), 1400, 2000),
+    );
+    t.is(readingRecent.length, 2);
+    t.is(readingOld.length, ids.length);
   });
 });
--- a/packages/decisions/tests/gateway/replicaRestart.test.ts
+++ b/packages/decisions/tests/gateway/replicaRestart.test.ts
@@ -7,7 +7,7 @@
 import type { GatewayFixture } from './helpers/gatewayFixture.js';
 import { gatewayFixture, replica, route } from './helpers/gatewayFixture.js';
 
-describe('GatewayRouter, when a replica starts again under its id', ({
+describe('GatewayRouter, when a replica restarts under the same id', ({
   it,
 }) => {
   const STREAM = route();
@@ -38,9 +38,10 @@
     return router.begin(request(STREAM, PARTS), decision.placed, 1);
   };
 
-  // An engine crashes and is back within a second under the same id. Its cache
-  // is empty, and what failed in the crash says nothing of it.
-  it('knows nothing of its cache, its load and its failures', t => {
+  // An engine may crash and be back within a second under the same id. Its
+  // cache is then empty, and the failures of the crash say nothing about the
+  // new run.
+  it('resets the cache, load and failures of the replica', t => {
     const fixture = gatewayFixture([STREAM], [first]);
     const attempt = send(fixture);
     fixture.router.onReported(attempt, { running: 60, waiting: 9, slots: 64 });
@@ -55,9 +56,9 @@
     t.is(load.slownessFor(0), 1);
   });
 
-  // The crash came without a sign, so the connections of the run before stay
-  // open. Its requests would wait for their time limit.
-  it('gives up the attempts at the run before, once', t => {
+  // A crash may leave the connections of the previous run open. Its requests
+  // would wait until their time limit.
+  it('returns the attempts on the previous run exactly once', t => {
     const fixture = gatewayFixture([STREAM], [first]);
     const attempt = send(fixture);
     t.deepEqual(fixture.router.takeOrphans(), []);
@@ -66,16 +67,17 @@
     t.deepEqual(fixture.router.takeOrphans(), []);
   });
 
-  // A peer that has not heard of the restart tells of the load before it.
-  it('does not count what others tell of the run before', t => {
+  // A peer that does not know of the restart reports the load of the previous
+  // run.
+  it('ignores reports of other instances on the previous run', t => {
     const fixture = gatewayFixture([STREAM], [first]);
     restart(fixture);
-    const told = { id: first.id, bornMs: 10 };
+    const previousRun = { id: first.id, bornMs: 10 };
     fixture.router.onPeerWork(brand<InstanceId>('e-1'), {
-      uses: [{ ...told, inFlight: 30, unreadByRank: [0, 90_000, 9] }],
+      uses: [{ ...previousRun, inFlight: 30, unreadByRank: [0, 90_000, 9] }],
       demands: [],
       lengths: [],
-      reports: [{ ...told, total: 70, ageMs: 10 }],
+      reports: [{ ...previousRun, total: 70, ageMs: 10 }],
     });
     t.is(loadOf(fixture).totalInFlight, 0);
     t.is(loadOf(fixture).unreadAhead(9), 0);
--- a/packages/decisions/tests/gateway/urgency.test.ts
+++ b/packages/decisions/tests/gateway/urgency.test.ts
@@ -45,7 +45,7 @@
 
 let serial = 0;
 
-/** Sends a request as its caller's key says. */
+/** Sends a request with a caller's key; returns null if it is rejected. */
 function send(
   { router, request }: GatewayFixture,
   { host, prefix }: Route,
@@ -57,27 +57,28 @@
     throw new Error(match.code);
   }
   serial += 1;
-  const asked = request(match.route, [{ id: `p-${serial}`, tokens }], {
+  const callerRequest = request(match.route, [{ id: `p-${serial}`, tokens }], {
     priority: match.priority,
   });
-  const decision = router.place(asked, new Set());
+  const decision = router.place(callerRequest, new Set());
   return decision.kind === 'send'
-    ? router.begin(asked, decision.placed, 1)
+    ? router.begin(callerRequest, decision.placed, 1)
     : null;
 }
 
-// Price checks and invoices of ten organisations went to replicas at one rank, since
-// every organisation had the same priority and it took the place of the routes': price
-// checks were read behind invoices and refused for them.
-describe('the order of urgency among organisations', ({ it }) => {
-  it('is that of the routes where organisations have the same', t => {
+// Guards against organisations' priorities replacing those of routes: when ten
+// organisations had the same priority, price checks and invoices went to
+// replicas at one rank, and price checks were rejected because they would be
+// read after invoices.
+describe('the priority order among organisations', ({ it }) => {
+  it('follows the routes if organisations have the same priority', t => {
     const fixture = fixtureWith([1, 1]);
     const invoice = send(fixture, INVOICE, 'k-0', 500);
     const check = send(fixture, CHECK, 'k-1', 500);
     t.true((check?.rank ?? 9) < (invoice?.rank ?? 0));
   });
 
-  it('is that of the organisations among routes of one priority', t => {
+  it('follows the organisations among routes of one priority', t => {
     const fixture = fixtureWith([0, 1]);
     const ranks = [
       send(fixture, CHECK, 'k-0', 100),
@@ -91,7 +92,7 @@
     );
   });
 
-  it('is that of the routes where organisations have none', t => {
+  it('follows the routes if organisations have no priority', t => {
     const fixture = fixtureWith([null]);
     const invoice = send(fixture, INVOICE, 'k-0', 500);
     const check = send(fixture, CHECK, 'k-0', 500);
@@ -99,10 +100,11 @@
   });
 });
 
-// A price check had 1,350 tokens of its own to be read, and up to 37,338 of others
-// before it. It was refused for a wait behind invoices that replicas would let it overtake.
-describe('the order of urgency in what is predicted', ({ it }) => {
-  it('leaves out less urgent prompts, and counts more urgent ones', t => {
+// A price check had 1,350 tokens to be read, with up to 37,338 tokens of
+// invoices counted before it. It was rejected for that wait, although replicas
+// would have let it overtake the invoices.
+describe('the priority order in predictions', ({ it }) => {
+  it('counts more urgent prompts ahead of a request, but not less urgent ones', t => {
     const fixture = fixtureWith([1]);
     Array.from({ length: 8 }).forEach(() => {
       send(fixture, INVOICE, 'k-0', 12_000);
@@ -114,10 +116,11 @@
   });
 });
 
-// Invoices wait for what overtakes them. Learnt as slowness of the replica, their
-// waits made price checks look four times as slow as they were, and refused them.
-describe('the order of urgency in what is learnt', ({ it }) => {
-  it('keeps waits of less urgent requests from urgent ones', t => {
+// Invoices wait for requests that overtake them. When these waits counted
+// towards one latency ratio of the replica, price checks seemed four times as
+// slow as they were and were rejected.
+describe('the priority order in latency estimates', ({ it }) => {
+  it('keeps the waits of less urgent requests out of those of urgent ones', t => {
     const fixture = fixtureWith([1]);
     const [load] = [...fixture.board.backends.values()];
     Array.from({ length: 20 }).forEach(() => {
@@ -128,37 +131,39 @@
   });
 });
 
-/** Lets answers of the routes have few pieces, as short ones do. */
-function learnLengths({ board }: GatewayFixture): void {
+/** Records answers of few pieces for price checks and of many for invoices. */
+function recordLengths({ board }: GatewayFixture): void {
   board.lengths.onEnded(CHECK.id, 5);
   board.lengths.onEnded(INVOICE.id, 70);
 }
 
-// Price checks wait no longer than two seconds for a first event, invoices eight. With
-// price checks queued for more than that they were refused, and invoices went on
-// being let in at the same replicas, since their own wait was still bearable.
-describe('the order of urgency in what is let in', ({ it }) => {
-  it('refuses a larger, less urgent request where a more urgent one is refused', t => {
+// Callers wait up to two seconds for the first event of a price check, and
+// eight for that of an invoice. When price checks were queued for longer,
+// further ones were rejected, while invoices were still admitted to the same
+// replicas because their own wait was acceptable.
+describe('the priority order in admission', ({ it }) => {
+  it('rejects a larger, less urgent request where a more urgent one is rejected', t => {
     const fixture = fixtureWith([1]);
-    learnLengths(fixture);
+    recordLengths(fixture);
     const checks = Array.from({ length: 200 }, () =>
       send(fixture, CHECK, 'k-0', 2000),
     );
-    t.true(checks.includes(null), 'some are refused');
+    t.true(checks.includes(null), 'some price checks are rejected');
     t.is(send(fixture, INVOICE, 'k-0', 2000), null);
   });
 
-  it('lets a less urgent request in where a more urgent one would be', t => {
+  it('admits a less urgent request where a more urgent one would be admitted', t => {
     const fixture = fixtureWith([1]);
-    learnLengths(fixture);
+    recordLengths(fixture);
     send(fixture, CHECK, 'k-0', 2000);
     t.not(send(fixture, INVOICE, 'k-0', 2000), null);
   });
 
-  // An operator added hundreds of urgent routes that nobody called yet. Their answers were
-  // assumed to have forty pieces, too many for the pace of a replica, and invoices were
-  // refused for requests that never came.
-  it('keeps no room for routes whose answers nobody has seen', t => {
+  // When an operator added hundreds of urgent routes that nobody called yet,
+  // their answers were assumed to have forty pieces, too many for the event
+  // interval of a replica, and invoices were rejected in favour of requests
+  // that never came.
+  it('reserves no capacity for routes without any observed answer', t => {
     const fixture = fixtureWith([1]);
     fixture.board.lengths.onEnded(INVOICE.id, 70);
     const [load] = [...fixture.board.backends.values()];
@@ -168,11 +173,12 @@
     t.not(send(fixture, INVOICE, 'k-0', 2000), null);
   });
 
-  // Streams of one replica had a piece each 0.7 s, since it read prompts without a
-  // break. It was the cheapest all the same, and the only one that was looked at.
-  it('refuses nothing that another replica would serve', t => {
+  // One replica delivered an event per stream every 0.7 s because it read
+  // prompts without a break. It was the cheapest nevertheless, and the only one
+  // considered.
+  it('rejects no request that another replica would serve', t => {
     const fixture = fixtureWith([1], ['s-1', 's-2']);
-    learnLengths(fixture);
+    recordLengths(fixture);
     const { board } = fixture;
     const [slow, busy] = [...board.backends.values()];
     if (!slow || !busy) {
@@ -188,10 +194,11 @@
   });
 });
 
-// Chats bear pauses of 0.25 s, urgent orders four times that. Replicas were split for
-// the chats' sake only: orders found nothing but their own group's replicas, all of
-// them full, and were refused while chats that could wait began beside them.
-describe('the order of urgency in where requests may go', ({ it }) => {
+// Chats tolerate gaps of 0.25 s, urgent orders four times that. Replicas were
+// split only for the sake of chats: orders could use only their own group's
+// replicas, all of them full, and were rejected while less urgent chats started
+// on the others.
+describe('the priority order in the split of replicas', ({ it }) => {
   const ORDER = route({
     id: brand<RouteId>('order'),
     prefix: '/order/',
@@ -207,7 +214,7 @@
   });
   const names = ['s-1', 's-2', 's-3', 's-4'];
 
-  function usedBy(orders: number, routes: readonly Route[]) {
+  function replicasUsedBy(orders: number, routes: readonly Route[]) {
     const fixture = gatewayFixture(
       routes,
       names.map(name => replica(name)),
@@ -219,13 +226,13 @@
     return new Set(used);
   }
 
-  it('lets urgent requests use the replicas of a less urgent, more delicate group', t => {
-    t.is(usedBy(80, [ORDER, CHAT]).size, names.length);
+  it('lets urgent requests use replicas of a less urgent, more delay-sensitive group', t => {
+    t.is(replicasUsedBy(80, [ORDER, CHAT]).size, names.length);
   });
 
-  it('keeps them away from a more delicate group that is more urgent', t => {
+  it('keeps requests off replicas of a more urgent, more delay-sensitive group', t => {
     const urgent = { ...CHAT, priority: 0 };
     const patient = { ...ORDER, priority: 1 };
-    t.true(usedBy(20, [patient, urgent]).size < names.length);
+    t.true(replicasUsedBy(20, [patient, urgent]).size < names.length);
   });
 });
