--- a/packages/decisions/src/gateway/ReplicaHealth.ts
+++ b/packages/decisions/src/gateway/ReplicaHealth.ts
@@ -70,15 +70,16 @@
   }
 
   /**
-   * Records that an attempt ended with an outcome that says nothing about the
-   * replica.
+   * Releases the probe of an attempt that ended. Called directly for outcomes
+   * that say nothing about the replica.
    */
-  onInconclusive(): void {
+  releaseProbe(): void {
     this.#probesInFlight = Math.max(0, this.#probesInFlight - 1);
   }
 
+  /** Records a successful attempt. */
   onSuccess(): void {
-    this.onInconclusive();
+    this.releaseProbe();
     this.#consecutiveFailures = 0;
     this.#count(0);
     // Answers to requests that were sent before the replica was avoided are no
@@ -100,7 +101,7 @@
    *   to 1
    */
   onFailure(usualShare: number): void {
-    this.onInconclusive();
+    this.releaseProbe();
     this.#consecutiveFailures += 1;
     this.#count(1);
     const isWorse =
--- a/packages/decisions/src/gateway/updateReplicaHealth.ts
+++ b/packages/decisions/src/gateway/updateReplicaHealth.ts
@@ -52,7 +52,7 @@
     return;
   }
   if (isInconclusive(board, attempt, result)) {
-    load.health.onInconclusive();
+    load.health.releaseProbe();
     return;
   }
   load.health.onFailure(medianFailureShare(board, load));
