--- a/packages/gateway/src/GatewayContext.ts
+++ b/packages/gateway/src/GatewayContext.ts
@@ -7,13 +7,13 @@
 
 import type { BackendConnections } from './backends/BackendConnections.js';
 import type { GatewaySettings } from './GatewaySettings.js';
-import type { LoopDelays } from './LoopDelays.js';
+import type { EventLoopDelayMonitor } from './EventLoopDelayMonitor.js';
 import type { GatewayMetrics } from './metrics/GatewayMetrics.js';
 import type { CallerDialect } from './ports/CallerDialect.js';
 import type { Timers } from './ports/Timers.js';
 import type { ViewLease } from './state/ViewLease.js';
 
-/** What the parts of one instance share. */
+/** State and services that the parts of one instance share. */
 export interface GatewayContext {
   /** Replaced as a whole when the settings file changes. */
   settings: GatewaySettings;
@@ -24,27 +24,37 @@
   readonly dialect: CallerDialect;
   readonly metrics: GatewayMetrics;
   readonly log: EventLog;
-  readonly delays: LoopDelays;
+  readonly delays: EventLoopDelayMonitor;
+  /** Monotonic clock, in milliseconds. */
   readonly clock: () => number;
   readonly timers: Timers;
-  /** Whether a stop was asked for. */
+  /** Whether the instance was asked to stop. */
   leaving: boolean;
-  /** What is still taken before the stop; null while the instance runs on. */
+  /**
+   * Limits for requests that are still accepted before the stop; null while no
+   * stop is planned.
+   */
   stopPlan: StopPlan | null;
 }
 
 /**
  * Whether an instance can serve callers.
  *
- * @param context - of the instance
- * @returns true once configuration and backend servers are known, until it leaves
+ * @param context - shared parts of the instance
+ * @returns true once configuration and backend servers are known, until the
+ *   instance stops
  */
 export function isReady(context: GatewayContext): boolean {
   const { board } = context.router;
   return !context.leaving && board.table !== null && board.replicas.version > 0;
 }
 
-/** @returns host and port where an instance takes callers */
+/**
+ * Returns the address at which an instance serves callers.
+ *
+ * @param context - shared parts of the instance
+ * @returns host and port
+ */
 export function ownAddress({ settings }: GatewayContext): string {
   return `${settings.callers.host}:${settings.callers.port}`;
 }
--- a/packages/gateway/src/GatewaySettings.ts
+++ b/packages/gateway/src/GatewaySettings.ts
@@ -2,7 +2,7 @@
 import type { DutySettings, RetryBudgetRules } from '@jujubecroft/decisions';
 import type { FailureDomainId, InstanceId } from '@jujubecroft/types';
 
-/** Where a server listens. */
+/** Address on which a server listens. */
 export interface ListenAddress {
   readonly host: string;
   readonly port: number;
@@ -12,25 +12,38 @@
 export interface GatewaySettings {
   readonly instance: InstanceId;
   readonly failureDomain: FailureDomainId;
+  /** Address for callers. */
   readonly callers: ListenAddress;
-  /** Null where the instance doesn't serve it. */
+  /** Address for readiness checks; null if the instance does not serve them. */
   readonly readiness: ListenAddress | null;
+  /**
+   * Address for the list of instances; null if the instance does not serve it.
+   */
   readonly directory: ListenAddress | null;
-  /** For other instances. */
+  /** Address for other instances. */
   readonly peers: ListenAddress;
-  /** Where other instances reach this one; differs behind a forwarder. */
+  /**
+   * Address at which other instances reach this one; differs from `peers`
+   * behind a forwarder.
+   */
   readonly peerAddress: string;
+  /** Address for metrics; null if the instance does not serve them. */
   readonly metrics: ListenAddress | null;
-  /** Other instances that may be tried first; may be stale. */
+  /** Addresses of instances to contact first; may be outdated. */
   readonly seeds: readonly string[];
   readonly retryBudget: RetryBudgetRules;
-  /** Null where there are no duties that one instance does for all. */
+  /** Duties that one instance performs for all; null if there are none. */
   readonly duties: DutySettings | null;
-  /** Time in which changes of configuration and replicas must be in force. */
+  /**
+   * Time within which changes of configuration and replicas must take effect,
+   * in milliseconds.
+   */
   readonly freshWithinMs: number;
-  /** Time from a request to stop until the process is ended, in milliseconds. */
+  /**
+   * Time from the request to stop until the process is killed, in milliseconds.
+   */
   readonly graceMs: number;
-  /** Longest time for which callers may keep addresses, in milliseconds. */
+  /** Longest time for which callers may cache addresses, in milliseconds. */
   readonly maxAddressAgeMs: number;
   readonly logLevel: LogLevel;
 }
--- a/packages/gateway/src/backends/VerdictWatch.ts
+++ b/packages/gateway/src/backends/AvoidanceLogger.ts
@@ -2,8 +2,8 @@
 import type { EventLog } from '@jujubecroft/events';
 import type { BackendServerId } from '@jujubecroft/types';
 
-/** Logs when this instance begins or ceases to avoid a backend server. */
-export class VerdictWatch {
+/** Logs when this instance starts or stops avoiding a backend server. */
+export class AvoidanceLogger {
   readonly #avoided = new Set<BackendServerId>();
 
   constructor(
@@ -11,11 +11,11 @@
     private readonly log: EventLog,
   ) {}
 
-  /** Looks for changes since the last call. */
-  look(): void {
+  /** Logs the changes since the last call. */
+  logChanges(): void {
     this.board.backends.forEach(({ health, replica, inFlight }) => {
       const { verdict } = health;
-      if (!this.#hasChanged(replica.id, verdict)) {
+      if (!this.#updateAvoided(replica.id, verdict)) {
         return;
       }
       this.log.write('backendAvoided', {
@@ -31,8 +31,13 @@
       .forEach(id => this.#avoided.delete(id));
   }
 
-  /** Probes belong to the time of being avoided. */
-  #hasChanged(id: BackendServerId, verdict: HealthVerdict): boolean {
+  /**
+   * Updates the set of avoided backend servers; one that is being probed counts
+   * as avoided.
+   *
+   * @returns whether the backend server changed between avoided and used
+   */
+  #updateAvoided(id: BackendServerId, verdict: HealthVerdict): boolean {
     const wasAvoided = this.#avoided.has(id);
     if (wasAvoided === (verdict !== 'good')) {
       return false;
--- a/packages/gateway/src/backends/BackendConnections.ts
+++ b/packages/gateway/src/backends/BackendConnections.ts
@@ -2,10 +2,10 @@
 
 import { KeepAliveAgent } from './KeepAliveAgent.js';
 
-/** Bound on opening a connection; a round trip takes a few milliseconds. */
+/** Timeout for opening a connection; a round trip takes a few milliseconds. */
 const CONNECT_TIMEOUT_MS = 400;
-/** Time that the last answers have when a replica is gone, in milliseconds. */
-const CLOSE_AFTER_MS = 30_000;
+/** Time for the last responses of a removed replica to finish. */
+const DRAIN_TIMEOUT_MS = 30_000;
 
 /** Connections to one run of a replica. */
 export interface BackendPool {
@@ -14,8 +14,8 @@
   readonly agent: KeepAliveAgent;
 }
 
-/** Names one run of a replica at one address. */
-function runKey({ id, address, bornMs }: Replica): string {
+/** Key of one run of a replica at one address. */
+function poolKey({ id, address, bornMs }: Replica): string {
   return `${id} ${address} ${bornMs ?? ''}`;
 }
 
@@ -29,36 +29,37 @@
 }
 
 /**
- * Connections to replicas, one pool for each run of a replica.
+ * Connections to replicas, with one pool for each run of a replica.
  *
- * A pool belongs to one run of one replica, so a connection is never used for
- * another replica that got the same address, or for a replica that started again.
+ * A separate pool ensures that a connection is never reused for another replica
+ * that was given the same address, or for a replica that has restarted.
  */
 export class BackendConnections {
   readonly #pools = new Map<string, BackendPool>();
 
   /**
-   * The pool of a replica, opened at first use.
+   * Returns the pool of a replica and creates it on first use.
    *
-   * @param replica - one run of it
-   * @param maxConnections - that it may have from now on; the share changes with the
-   *   number of instances, and requests beyond an old one would wait for nothing
+   * @param replica - one run of a replica
+   * @param maxConnections - limit from now on. The share of one instance
+   *   changes with the number of instances; under an outdated limit, requests
+   *   would wait although a connection is permitted.
    */
-  of(replica: Replica, maxConnections: number): BackendPool {
-    const key = runKey(replica);
-    const known = this.#pools.get(key);
-    if (known) {
-      known.agent.maxSockets = maxConnections;
-      return known;
+  poolFor(replica: Replica, maxConnections: number): BackendPool {
+    const key = poolKey(replica);
+    const existing = this.#pools.get(key);
+    if (existing) {
+      existing.agent.maxSockets = maxConnections;
+      return existing;
     }
     const pool = createPool(replica, maxConnections);
     this.#pools.set(key, pool);
     return pool;
   }
 
-  /** Closes the pools of replicas that are no longer used. */
+  /** Closes the pools of all replicas except the given ones. */
   keepOnly(replicas: readonly Replica[]): void {
-    const used = new Set(replicas.map(runKey));
+    const used = new Set(replicas.map(poolKey));
     [...this.#pools]
       .filter(([key]) => !used.has(key))
       .forEach(([key, { agent }]) => {
@@ -66,11 +67,11 @@
         agent.close();
         setTimeout(() => {
           agent.destroy();
-        }, CLOSE_AFTER_MS).unref();
+        }, DRAIN_TIMEOUT_MS).unref();
       });
   }
 
-  /** Drops all connections. */
+  /** Closes all connections at once. */
   destroy(): void {
     this.#pools.forEach(({ agent }) => {
       agent.destroy();
--- a/packages/gateway/src/backends/CrashWatch.ts
+++ b/packages/gateway/src/backends/BarredRequestLogger.ts
@@ -2,8 +2,11 @@
 import type { EventLog } from '@jujubecroft/events';
 import type { RequestFingerprint } from '@jujubecroft/types';
 
-/** Logs which requests are no longer sent since they crash backend servers. */
-export class CrashWatch {
+/**
+ * Logs which request contents become barred because they crash backend servers,
+ * and which are permitted again.
+ */
+export class BarredRequestLogger {
   #barred: readonly RequestFingerprint[] = [];
 
   constructor(
@@ -11,8 +14,8 @@
     private readonly log: EventLog,
   ) {}
 
-  /** Looks for changes since the last call. */
-  look(): void {
+  /** Logs the changes since the last call. */
+  logChanges(): void {
     const { crashes } = this.board;
     const before = this.#barred;
     this.#barred = crashes.barred;
--- a/packages/gateway/src/backends/JsonClient.ts
+++ b/packages/gateway/src/backends/JsonClient.ts
@@ -1,42 +1,47 @@
 import { KeepAliveAgent } from './KeepAliveAgent.js';
 import { requestWhole } from './requestWhole.js';
 
-/** How one server is called. */
+/** Connection limit and timeouts for the calls to one server. */
 export interface JsonClientOptions {
   readonly connections: number;
-  /** Bound on opening a connection, in milliseconds. */
+  /** Timeout for opening a connection, in milliseconds. */
   readonly connectTimeoutMs: number;
-  /** Bound on a whole call, in milliseconds. */
+  /** Timeout for a complete call, in milliseconds. */
   readonly timeoutMs: number;
 }
 
-/** A call with a body of JSON; a read where it has none. */
+/** A call with a JSON body (POST), or without a body (GET). */
 export interface JsonCall {
   readonly path: string;
   readonly content?: unknown;
   readonly headers?: Readonly<Record<string, string>>;
-  /** Time that the server may wait before it works on the call, in milliseconds. */
+  /**
+   * Additional time that the server may wait before it processes the call, in
+   * milliseconds.
+   */
   readonly waitMs?: number;
 }
 
+/** Status and body of a response. */
 export interface JsonReply {
   readonly status: number;
   /**
-   * Parses the body, once the status says that it is worth it.
+   * Parses the body. It is parsed on demand, so that the status of a response
+   * with an invalid body is still available.
    *
-   * @returns null where the body is empty
-   * @throws SyntaxError where it is no JSON
+   * @returns null if the body is empty
+   * @throws SyntaxError if the body is not valid JSON
    */
   readonly json: () => unknown;
 }
 
-/** Calls one server with bodies of JSON, each with a bound of its own. */
+/** Calls one server with JSON bodies, with a timeout for each call. */
 export class JsonClient {
   readonly #agent: KeepAliveAgent;
 
   /**
    * @param address - host and port of the server
-   * @param options - bounds
+   * @param options - connection limit and timeouts
    */
   constructor(
     private readonly address: string,
@@ -49,7 +54,7 @@
   /**
    * Makes a call.
    *
-   * @throws Error when no whole answer came in time
+   * @throws Error if no complete response arrives in time
    */
   async call({
     path,
@@ -76,6 +81,7 @@
     return { status, json };
   }
 
+  /** Closes all connections. */
   close(): void {
     this.#agent.destroy();
   }
--- a/packages/gateway/src/backends/KeepAliveAgent.ts
+++ b/packages/gateway/src/backends/KeepAliveAgent.ts
@@ -9,47 +9,57 @@
 
 import { nextTurn } from '../util/nextTurn.js';
 
-/** Idle time of a connection whose server states none, in milliseconds. */
-const IDLE_MS = 900;
-/** Connections are given up this long before the server says that it closes them. */
-const IDLE_MARGIN_MS = 1000;
-const MAX_IDLE_MS = 60_000;
+/** Idle timeout of a connection whose server states none. */
+const DEFAULT_IDLE_TIMEOUT_MS = 900;
+/**
+ * Connections are closed this long before the timeout that the server states.
+ */
+const IDLE_TIMEOUT_MARGIN_MS = 1000;
+const MAX_IDLE_TIMEOUT_MS = 60_000;
 const MS_PER_SECOND = 1000;
-const STATED_IDLE = /(?:^|[,\s])timeout=(\d+)/i;
-/** Code of a reset, other than the system's own. */
-const RESET_CODE = 'RESET_BY_SERVER';
+const KEEP_ALIVE_TIMEOUT_PATTERN = /(?:^|[,\s])timeout=(\d+)/i;
+/**
+ * Error code for a reset by the server; replaces the code `ECONNRESET` of the
+ * operating system.
+ */
+const RESET_ERROR_CODE = 'RESET_BY_SERVER';
 
-/** How the connections to one server are opened. */
+/** Connection limit and timeout for one server. */
 export interface KeepAliveOptions {
   readonly maxConnections: number;
-  /** Bound on opening a connection, in milliseconds. */
+  /** Timeout for opening a connection, in milliseconds. */
   readonly connectTimeoutMs: number;
 }
 
-/** A connection as the runtime keeps it, with the request that it served last. */
-interface ServedSocket extends Socket {
+/**
+ * A socket with the internal field in which Node.js stores its last request.
+ */
+interface KeptSocket extends Socket {
   readonly _httpMessage?: { readonly res?: IncomingMessage };
 }
 
-/** How long a connection may idle after its last answer, in milliseconds. */
-function idleMsOf({ _httpMessage: last }: ServedSocket): number {
-  const stated = String(last?.res?.headers['keep-alive'] ?? '');
-  const [, seconds] = STATED_IDLE.exec(stated) ?? [];
+/** Idle timeout of a connection after its last response, in milliseconds. */
+function idleTimeoutMs({ _httpMessage: lastRequest }: KeptSocket): number {
+  const keepAliveHeader = String(lastRequest?.res?.headers['keep-alive'] ?? '');
+  const [, seconds] = KEEP_ALIVE_TIMEOUT_PATTERN.exec(keepAliveHeader) ?? [];
   return seconds === undefined
-    ? IDLE_MS
-    : Math.min(MAX_IDLE_MS, Number(seconds) * MS_PER_SECOND - IDLE_MARGIN_MS);
+    ? DEFAULT_IDLE_TIMEOUT_MS
+    : Math.min(
+        MAX_IDLE_TIMEOUT_MS,
+        Number(seconds) * MS_PER_SECOND - IDLE_TIMEOUT_MARGIN_MS,
+      );
 }
 
-function destroyThis(this: Socket): void {
+function destroySocket(this: Socket): void {
   this.destroy();
 }
 
 /**
- * Opens and keeps the connections to one server.
+ * Opens the connections to one server and keeps them alive.
  *
- * The runtime's own client is used, since its parser is there from the start: the
- * HTTP client library compiles one at its first answer, which took 300 ms of
- * processor time and 9 MB in each process (median of seven starts).
+ * It extends the HTTP agent of Node.js, whose parser is built in. The undici
+ * client compiles its parser at the first response, which takes 300 ms of CPU
+ * time and 9 MB of memory in each process.
  */
 export class KeepAliveAgent extends Agent {
   readonly #resetAtEnd = new WeakSet<Socket>();
@@ -60,15 +70,18 @@
   }
 
   /**
-   * Whether a connection ended by a reset although it looked like a regular end.
+   * Whether a connection was reset although it seemed to end regularly.
    *
-   * @param socket - of an answer that has ended
+   * @param socket - connection of a response that has ended
    */
   wasReset(socket: Socket): boolean {
     return this.#resetAtEnd.has(socket);
   }
 
-  /** Keeps no connection any more; what runs goes on. */
+  /**
+   * Closes idle connections and keeps no further ones; requests in progress
+   * continue.
+   */
   close(): void {
     this.#closing = true;
     Object.values(this.freeSockets)
@@ -79,20 +92,20 @@
   }
 
   /**
-   * Opens a connection, with a bound, and tells resets apart from regular ends.
+   * Opens a connection with a timeout and tells resets from regular ends.
    *
-   * Guards against an answer without length or chunks whose server breaks off: it
-   * would look complete, since such an answer ends with its connection. When a
-   * reset comes together with the last bytes, the event loop reports an end and
-   * no error; a connection that the other side closed has a peer then, one that
-   * was reset has none.
+   * A response without length or chunked encoding ends with its connection, so
+   * a truncated one looks complete. If a reset arrives together with the last
+   * bytes, Node.js reports an end and no error. The socket then has no remote
+   * address, whereas it still has one after a regular close.
    */
   override createConnection({ host, port }: ClientRequestArgs): Socket {
     const { connectTimeoutMs } = this.limits;
     const socket = connect({ host: host ?? '', port: Number(port) });
     socket.setNoDelay(true);
     const timer = setTimeout(() => {
-      // Whether it is open may wait to be read, where the process was held up.
+      // If the event loop was blocked, the connection may be open although the
+      // event is still pending.
       void nextTurn().then(() => {
         if (socket.connecting) {
           socket.destroy(
@@ -108,7 +121,7 @@
     socket.once('close', stopTimer);
     socket.prependListener('error', (err: NodeJS.ErrnoException) => {
       if (err.code === 'ECONNRESET') {
-        err.code = RESET_CODE;
+        err.code = RESET_ERROR_CODE;
       }
     });
     socket.prependListener('end', () => {
@@ -120,29 +133,30 @@
   }
 
   /**
-   * Keeps a connection for as long as its server surely does.
+   * Keeps an idle connection for as long as its server is certain to keep it.
    *
-   * Guards against connections that are not what they seem at their next use: it
-   * shows as requests that get no answer, or another's. Bytes out of turn and the
-   * end of the other side close an idle connection at once.
+   * A connection that the server has closed, or on which it sent unexpected
+   * bytes, would leave the next request without a response or with that of
+   * another request. Unexpected data or an end therefore closes an idle
+   * connection at once.
    */
-  override keepSocketAlive(socket: ServedSocket): boolean {
-    const idleMs = idleMsOf(socket);
+  override keepSocketAlive(socket: KeptSocket): boolean {
+    const idleMs = idleTimeoutMs(socket);
     if (this.#closing || idleMs <= 0) {
       return false;
     }
     socket.setTimeout(idleMs);
-    socket.on('timeout', destroyThis);
-    socket.on('data', destroyThis);
-    socket.on('end', destroyThis);
+    socket.on('timeout', destroySocket);
+    socket.on('data', destroySocket);
+    socket.on('end', destroySocket);
     socket.unref();
     return true;
   }
 
   override reuseSocket(socket: Socket, req: ClientRequest): void {
-    socket.off('timeout', destroyThis);
-    socket.off('data', destroyThis);
-    socket.off('end', destroyThis);
+    socket.off('timeout', destroySocket);
+    socket.off('data', destroySocket);
+    socket.off('end', destroySocket);
     socket.setTimeout(0);
     super.reuseSocket(socket, req);
   }
--- a/packages/gateway/src/backends/LimitWatch.ts
+++ b/packages/gateway/src/backends/ReplicaLimitLogger.ts
@@ -2,23 +2,23 @@
 import type { EventLog } from '@jujubecroft/events';
 import type { BackendServerId } from '@jujubecroft/types';
 
-/** Logs when a backend server names, changes or drops a limit. */
-export class LimitWatch {
-  readonly #known = new Map<BackendServerId, number>();
+/** Logs when a backend server states, changes or withdraws a rate limit. */
+export class ReplicaLimitLogger {
+  readonly #limits = new Map<BackendServerId, number>();
 
   constructor(
     private readonly board: GatewayBoard,
     private readonly log: EventLog,
   ) {}
 
-  /** Looks for changes since the last call. */
-  look(): void {
+  /** Logs the changes since the last call. */
+  logChanges(): void {
     this.board.backends.forEach(({ replica, limitPerS: perS }) => {
-      const before = this.#known.get(replica.id) ?? null;
+      const before = this.#limits.get(replica.id) ?? null;
       if (perS === before) {
         return;
       }
-      this.#keep(replica.id, perS);
+      this.#remember(replica.id, perS);
       this.log.write('replicaLimited', {
         backendServer: replica.id,
         service: replica.service,
@@ -26,16 +26,16 @@
         before,
       });
     });
-    [...this.#known.keys()]
+    [...this.#limits.keys()]
       .filter(id => !this.board.backends.has(id))
-      .forEach(id => this.#known.delete(id));
+      .forEach(id => this.#limits.delete(id));
   }
 
-  #keep(id: BackendServerId, perS: number | null): void {
+  #remember(id: BackendServerId, perS: number | null): void {
     if (perS === null) {
-      this.#known.delete(id);
+      this.#limits.delete(id);
     } else {
-      this.#known.set(id, perS);
+      this.#limits.set(id, perS);
     }
   }
 }
--- a/packages/gateway/src/backends/requestWhole.ts
+++ b/packages/gateway/src/backends/requestWhole.ts
@@ -4,27 +4,32 @@
 
 import { nextTurn } from '../util/nextTurn.js';
 
-/** A small request between servers. */
-export interface WholeRequest {
+/** A small request from one server to another. */
+export interface HttpCall {
   readonly address: string;
   readonly method: 'GET' | 'POST';
   readonly path: string;
+  /** Content type of the body. */
   readonly type?: string;
-  /** Further headers. */
+  /** Additional headers. */
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: Uint8Array;
-  /** Keeps connections; a connection of its own where omitted. */
+  /**
+   * Agent that keeps connections alive; without one, the request gets its own
+   * connection.
+   */
   readonly agent?: Agent;
-  /** Bound on the whole exchange, in milliseconds. */
+  /** Timeout for the complete exchange, in milliseconds. */
   readonly timeoutMs: number;
 }
 
-export interface WholeReply {
+/** Status and body of a response. */
+export interface HttpReply {
   readonly status: number;
   readonly body: Buffer;
 }
 
-function optionsOf(call: WholeRequest, signal: AbortSignal): RequestOptions {
+function toRequestOptions(call: HttpCall, signal: AbortSignal): RequestOptions {
   const { address, method, path, type, headers, body, agent } = call;
   const [host, port] = address.split(':');
   return {
@@ -43,13 +48,13 @@
 }
 
 /**
- * Does something with a bound on its time.
+ * Runs an operation with a timeout.
  *
- * Guards against taking the own lack of processor for the silence of the other side:
- * timers come before reads, so an answer may be there when the time is up. What has
- * arrived is read first.
+ * Timers fire before pending reads are processed. If the event loop was
+ * blocked, the response may have arrived when the timeout fires, so pending
+ * reads are processed before the operation is aborted.
  */
-async function within<Result>(
+async function withTimeout<Result>(
   timeoutMs: number,
   run: (signal: AbortSignal) => Promise<Result>,
 ): Promise<Result> {
@@ -71,21 +76,21 @@
 }
 
 /**
- * Sends a request and reads the whole answer.
+ * Sends a request and reads the complete response.
  *
- * Guards against connections that fall silent: the bound ends the call, which
- * closes its connection, and the next call opens another.
+ * The timeout also covers a connection that falls silent: it closes the
+ * connection, and the next call opens another one.
  *
  * @param call - the request
  * @returns status and body
- * @throws Error when no whole answer came in time
+ * @throws Error if no complete response arrives in time
  */
-export function requestWhole(call: WholeRequest): Promise<WholeReply> {
-  return within(call.timeoutMs, async signal => {
+export function requestWhole(call: HttpCall): Promise<HttpReply> {
+  return withTimeout(call.timeoutMs, async signal => {
     const res = await new Promise<IncomingMessage>((resolve, reject) => {
-      const req = request(optionsOf(call, signal));
+      const req = request(toRequestOptions(call, signal));
       req.once('response', resolve);
-      // Errors after the answer began reach whoever reads its body.
+      // After the response has begun, errors reach the reader of its body.
       req.on('error', reject);
       req.end(call.body);
     });
--- a/packages/gateway/src/backends/sendAttempt.ts
+++ b/packages/gateway/src/backends/sendAttempt.ts
@@ -5,73 +5,90 @@
 import type { RawHeaders } from '../ports/CallerDialect.js';
 import type { BackendPool } from './BackendConnections.js';
 
-/** Bound on the head of an answer. */
+/** Limit for the head of a response. */
 const MAX_HEAD_BYTES = 64 * 1024;
 
-/** A request as it goes to a backend server. */
-export interface BackendCall {
+/** A request to a backend server. */
+export interface BackendRequest {
   readonly method: string;
-  /** Path and query, as the caller wrote them. */
+  /** Path and query, as the caller sent them. */
   readonly target: string;
   readonly headers: string[];
-  /** Null where the caller sent none. */
+  /** Null if the caller sent none. */
   readonly body: Buffer | null;
 }
 
-/** How an exchange with a backend server ended. */
+/**
+ * How an exchange with a backend server ended; `sent` tells whether anything of
+ * the request may have left.
+ */
 export type ExchangeEnd =
   | { readonly kind: 'complete' }
   | { readonly kind: 'failed'; readonly sent: boolean; readonly reason: string }
   | { readonly kind: 'aborted'; readonly sent: boolean };
 
-/** Asked and told while an exchange is under way. */
+/** Callbacks of an exchange in progress. */
 export interface ExchangeListener {
-  /** Asked when a connection is there, just before the first byte leaves. */
-  readonly mayGo: () => boolean;
-  /** @returns false to give the exchange up */
+  /**
+   * Called when a connection is open, just before the first byte is sent; false
+   * cancels the request.
+   */
+  readonly maySend: () => boolean;
+  /**
+   * Called with the head of the response.
+   *
+   * @returns false to abort the exchange
+   */
   readonly onStart: (status: number, headers: RawHeaders) => boolean;
-  /** @returns false to pause until `resume` */
+  /**
+   * Called with each chunk of the body.
+   *
+   * @returns false to pause the response until `resume` is called
+   */
   readonly onData: (chunk: Buffer) => boolean;
 }
 
-/** An exchange under way. */
+/** An exchange in progress. */
 export interface RunningExchange {
   readonly ended: Promise<ExchangeEnd>;
-  /** Withdraws the request; its connection is closed if it was sent. */
+  /** Aborts the request; if it was sent, its connection is closed. */
   readonly abort: () => void;
-  /** Goes on after a pause. */
+  /** Resumes a paused response. */
   readonly resume: () => void;
 }
 
-const ABORTED = new Error('withdrawn by this instance');
-const NOT_TO_GO = new Error('no longer to be sent there');
-/** A body has its length stated, so that it isn't sent in chunks. */
-const LENGTH = 'Content-Length';
+const ABORTED_ERROR = new Error('withdrawn by this instance');
+const NOT_ALLOWED_ERROR = new Error(
+  'replica may no longer receive the request',
+);
+/** Set for every body, so that Node.js does not use chunked encoding. */
+const CONTENT_LENGTH = 'Content-Length';
 
-function lengthOf({ method, body }: BackendCall): string[] {
+function contentLengthHeader({ method, body }: BackendRequest): string[] {
   if (body !== null) {
-    return [LENGTH, String(body.length)];
+    return [CONTENT_LENGTH, String(body.length)];
   }
-  return method === 'GET' || method === 'HEAD' ? [] : [LENGTH, '0'];
+  return method === 'GET' || method === 'HEAD' ? [] : [CONTENT_LENGTH, '0'];
 }
 
 /**
  * Sends one request to a backend server.
  *
- * It goes out once: the client never repeats it by itself, since it may have run.
+ * The request is never repeated here, since the backend server may have
+ * executed it.
  *
- * @param pool - connections to it
+ * @param pool - connections to the backend server
  * @param call - the request
- * @param listener - lets the request go, and takes the answer
- * @returns the exchange; `ended` never rejects
+ * @param listener - callbacks of the exchange
+ * @returns the exchange; its promise `ended` never rejects
  */
 export function sendAttempt(
   { host, port, agent }: BackendPool,
-  call: BackendCall,
+  call: BackendRequest,
   listener: ExchangeListener,
 ): RunningExchange {
   let req: ClientRequest | null = null;
-  let answer: IncomingMessage | null = null;
+  let response: IncomingMessage | null = null;
   let sent = false;
   let aborted = false;
   let settle: (end: ExchangeEnd) => void = () => undefined;
@@ -81,28 +98,30 @@
 
   const abort = (): void => {
     aborted = true;
-    req?.destroy(ABORTED);
+    req?.destroy(ABORTED_ERROR);
     settle({ kind: 'aborted', sent });
   };
 
-  const fail = (err: Error): void => {
-    // Bytes behind a whole answer are a fault of the connection, not of the answer.
-    if (answer?.complete !== true) {
+  const onError = (err: Error): void => {
+    // Data after a complete response is an error of the connection, not of the
+    // response.
+    if (response?.complete !== true) {
       settle({ kind: 'failed', sent, reason: err.message });
     }
   };
 
   /**
-   * The connection is open, and the request leaves next.
+   * Called when the connection is open and the request is about to be sent.
    *
-   * Guards against a request to a replica that began to leave while the request waited
-   * for a connection: nothing has left yet, so it can go elsewhere.
+   * The replica may have started to stop while the request waited for a
+   * connection. As nothing has been sent yet, the request can go to another
+   * replica.
    */
   const onOpen = (): void => {
-    if (listener.mayGo()) {
+    if (listener.maySend()) {
       sent = true;
     } else {
-      req?.destroy(NOT_TO_GO);
+      req?.destroy(NOT_ALLOWED_ERROR);
     }
   };
 
@@ -114,19 +133,24 @@
     }
   };
 
-  const onAnswer = (res: IncomingMessage): void => {
-    answer = res;
+  const onResponse = (res: IncomingMessage): void => {
+    response = res;
     const { socket } = res;
     res.on('data', (chunk: Buffer) => {
       if (!aborted && !listener.onData(chunk)) {
         res.pause();
       }
     });
-    res.on('error', fail);
+    res.on('error', onError);
     res.on('end', () => {
       settle(
         agent.wasReset(socket)
-          ? { kind: 'failed', sent, reason: 'reset with the last bytes' }
+          ? {
+              kind: 'failed',
+              sent,
+              reason:
+                'connection reset together with the last bytes of the response',
+            }
           : { kind: 'complete' },
       );
     });
@@ -142,16 +166,16 @@
       port,
       method: call.method,
       path: call.target,
-      headers: [...call.headers, ...lengthOf(call)],
+      headers: [...call.headers, ...contentLengthHeader(call)],
       maxHeaderSize: MAX_HEAD_BYTES,
     });
     req.on('socket', onSocket);
-    req.on('response', onAnswer);
-    req.on('error', fail);
-    // Whatever ends a connection, a request that waits for nothing would be kept
-    // until its caller gives up.
+    req.on('response', onResponse);
+    req.on('error', onError);
+    // Ensures that the exchange settles whenever the connection closes;
+    // otherwise the request would wait until its caller gives up.
     req.once('close', () => {
-      fail(new Error('closed before the answer was whole'));
+      onError(new Error('connection closed before the response was complete'));
     });
     req.end(call.body ?? undefined);
   } catch (err) {
@@ -163,7 +187,7 @@
     ended,
     abort,
     resume: () => {
-      answer?.resume();
+      response?.resume();
     },
   };
 }
--- a/packages/gateway/src/createApp.ts
+++ b/packages/gateway/src/createApp.ts
@@ -2,18 +2,20 @@
 import type { FastifyHttpOptions, FastifyInstance } from 'fastify';
 import { fastify } from 'fastify';
 
-/** Compiles nothing, whatever the schema. */
+/** Replaces the schema compilers; fails if a route declares a schema. */
 const noCompiler = (): never => {
-  throw new Error('no route here declares a schema');
+  throw new Error(
+    'schema compilers are disabled: routes of the gateway must not declare a schema',
+  );
 };
 
 /**
- * Creates a web application without compilers of schemas.
+ * Creates a web application without schema compilers.
  *
- * No route here declares a schema. The compilers are the larger part of the
- * framework, and an instance that was killed is back only when all is loaded.
+ * No route of the gateway declares a schema. The compilers are the larger part
+ * of the framework, and loading them would delay the restart of an instance.
  *
- * @param options - of the framework
+ * @param options - options of the framework
  * @returns the application, not listening yet
  */
 export function createApp(
--- a/packages/gateway/src/createContext.ts
+++ b/packages/gateway/src/createContext.ts
@@ -11,40 +11,45 @@
 import { BackendConnections } from './backends/BackendConnections.js';
 import type { GatewayContext } from './GatewayContext.js';
 import type { GatewaySettings } from './GatewaySettings.js';
-import { LoopDelays } from './LoopDelays.js';
+import { EventLoopDelayMonitor } from './EventLoopDelayMonitor.js';
 import { GatewayMetrics } from './metrics/GatewayMetrics.js';
 import { PEER_PERIOD_MS } from './state/PeerLoop.js';
 import { peerFanout } from './state/peerFanout.js';
 import { refutationMs } from './state/refutationMs.js';
 import { ViewLease } from './state/ViewLease.js';
 
-/** Time between looks at what is due, in milliseconds. */
-export const HOUSEKEEPING_MS = 100;
+/** Interval of the periodic tasks of an instance. */
+export const HOUSEKEEPING_INTERVAL_MS = 100;
 
-/** What an instance needs of its surroundings. */
-export type ContextParts = Pick<
+/** Dependencies of an instance that its host provides. */
+export type ContextDependencies = Pick<
   GatewayContext,
   'clock' | 'dialect' | 'log' | 'timers'
 > & {
-  /** Time of day of the start, which grows from run to run; a step back is refuted. */
+  /**
+   * Start time in Unix milliseconds, used as the incarnation in the membership
+   * protocol. It normally grows from run to run; if the time of day was set
+   * back, the instance refutes the entry of its earlier run.
+   */
   readonly startedMs: number;
-  /** In Unix milliseconds; that of the process where omitted. */
+  /** Time of day in Unix milliseconds; the system clock if omitted. */
   readonly timeOfDay?: () => number;
 };
 
 /**
- * Creates what the parts of one instance share.
+ * Creates the shared parts of one instance.
  *
- * @param settings - checked settings
- * @param parts - of its surroundings
- * @returns the context of an instance that knows nothing yet
+ * @param settings - validated settings
+ * @param parts - dependencies that the host provides
+ * @returns the context of an instance without configuration and replicas
  */
 export function createContext(
   settings: GatewaySettings,
-  { clock, dialect, log, timers, startedMs, timeOfDay }: ContextParts,
+  { clock, dialect, log, timers, startedMs, timeOfDay }: ContextDependencies,
 ): GatewayContext {
   const { instance, failureDomain, retryBudget } = settings;
-  // Each run draws other numbers, or all instances would after a restart.
+  // The seed differs from run to run; otherwise all instances would repeat
+  // their random numbers after a restart.
   const random = createRandom(murmurhash.v3(instance) ^ startedMs);
   const board = createGatewayBoard({
     clock,
@@ -81,7 +86,7 @@
     dialect,
     metrics: new GatewayMetrics(),
     log,
-    delays: new LoopDelays(clock, HOUSEKEEPING_MS),
+    delays: new EventLoopDelayMonitor(clock, HOUSEKEEPING_INTERVAL_MS),
     clock,
     timers,
     leaving: false,
--- a/packages/gateway/src/forward/CallerAnswer.ts
+++ b/packages/gateway/src/forward/CallerResponse.ts
@@ -1,13 +1,13 @@
 import type { ServerResponse } from 'node:http';
 
-/** Status line, headers and body of a whole answer. */
-export interface WholeAnswer {
+/** Status, headers and body of a complete response. */
+export interface CompleteResponse {
   readonly status: number;
   readonly headers: readonly string[];
   readonly body: Buffer;
 }
 
-const NO_BODY_STATUSES: readonly number[] = [204, 304];
+const BODYLESS_STATUSES: readonly number[] = [204, 304];
 
 function hasHeader(headers: readonly string[], name: string): boolean {
   return headers.some(
@@ -15,41 +15,47 @@
   );
 }
 
-/** The answer to one caller, written at most once. */
-export class CallerAnswer {
+/** The response to one caller, which is written at most once. */
+export class CallerResponse {
   /**
-   * @param res - towards the caller
-   * @param isLeaving - whether connections should be closed after their answer
+   * @param res - response of the caller's connection
+   * @param isStopping - whether connections should be closed after their
+   *   response
    */
   constructor(
     private readonly res: ServerResponse,
-    private readonly isLeaving: () => boolean,
+    private readonly isStopping: () => boolean,
   ) {}
 
-  /** Whether the caller has got the head. */
+  /** Whether the response head has been written. */
   get hasStarted(): boolean {
     return this.res.headersSent;
   }
 
-  /** Whether the caller is gone or has its whole answer. */
+  /** Whether the connection is closed or the response is complete. */
   get isClosed(): boolean {
     return this.res.destroyed || this.res.writableEnded;
   }
 
-  /** Writes the head of an answer whose body follows. */
+  /** Writes the head of a response whose body follows. */
   start(status: number, headers: readonly string[]): void {
-    // Closing while an answer is on its way tells callers to connect elsewhere.
-    const closing = this.isLeaving() ? ['connection', 'close'] : [];
+    // Closing the connection after this response makes the caller connect to
+    // another instance.
+    const closing = this.isStopping() ? ['connection', 'close'] : [];
     this.res.sendDate = false;
     this.res.writeHead(status, [...headers, ...closing]);
   }
 
-  /** @returns false when the caller should be waited for */
+  /**
+   * Writes a chunk of the body.
+   *
+   * @returns false if the caller applies backpressure
+   */
   write(chunk: Buffer): boolean {
     return chunk.length === 0 || this.res.write(chunk);
   }
 
-  /** Calls back once when the caller takes more. */
+  /** Calls the listener once, when the caller accepts more data. */
   onDrain(listener: () => void): void {
     this.res.once('drain', listener);
   }
@@ -58,19 +64,22 @@
     this.res.end();
   }
 
-  /** Writes a whole answer at once. */
-  send({ status, headers, body }: WholeAnswer): void {
+  /** Writes a complete response. */
+  send({ status, headers, body }: CompleteResponse): void {
     const isHead = this.res.req.method === 'HEAD';
     const needsLength =
       !isHead &&
-      !NO_BODY_STATUSES.includes(status) &&
+      !BODYLESS_STATUSES.includes(status) &&
       !hasHeader(headers, 'content-length');
     const length = needsLength ? ['content-length', String(body.length)] : [];
     this.start(status, [...headers, ...length]);
     this.res.end(body);
   }
 
-  /** Ends an answer in the middle, so that it can't be taken for a whole one. */
+  /**
+   * Aborts the connection, so that a partial response is not mistaken for a
+   * complete one.
+   */
   cut(): void {
     this.res.destroy();
   }
--- a/packages/gateway/src/forward/ForwardedRequest.ts
+++ b/packages/gateway/src/forward/ForwardedRequest.ts
@@ -14,22 +14,22 @@
 import { sendAttempt } from '../backends/sendAttempt.js';
 import type { GatewayContext } from '../GatewayContext.js';
 import type { CallerHead, RawHeaders } from '../ports/CallerDialect.js';
-import { AnswerAssembly } from './AnswerAssembly.js';
-import { AnswerTimes } from './AnswerTimes.js';
-import type { CallerAnswer } from './CallerAnswer.js';
-import { EventCutter } from './EventCutter.js';
+import { ResponseAssembler } from './ResponseAssembler.js';
+import { ResponseTimings } from './ResponseTimings.js';
+import type { CallerResponse } from './CallerResponse.js';
+import { SseEventBuffer } from './SseEventBuffer.js';
 import { placeOnView } from './placeOnView.js';
-import { RequestEnding } from './RequestEnding.js';
-import type { Facts, Progress } from './RequestNotes.js';
+import { RequestFinisher } from './RequestFinisher.js';
+import type { LogFields, RequestProgress } from './RequestRecorder.js';
 import {
-  crashFacts,
-  queueFacts,
-  RequestNotes,
-  verdictFacts,
-} from './RequestNotes.js';
+  crashFields,
+  queueFields,
+  RequestRecorder,
+  admissionFields,
+} from './RequestRecorder.js';
 
-/** A caller's request as it came. */
-export interface IncomingCall {
+/** A caller's request as it was received. */
+export interface IncomingRequest {
   readonly method: string;
   readonly target: string;
   readonly headers: RawHeaders;
@@ -39,50 +39,62 @@
 
 type SendDecision = Extract<PlacementDecision, { kind: 'send' }>;
 
-interface TriedAttempt {
+interface FinishedAttempt {
   readonly attempt: GatewayAttempt;
   readonly result: AttemptResult;
 }
 
-/** Told by an instance that stops; callers find another at once. */
-const LEAVING_RETRY_MS = 50;
+/**
+ * Retry delay sent by a stopping instance; short, since callers can reach
+ * another instance at once.
+ */
+const STOPPING_INSTANCE_RETRY_MS = 50;
 
-/** Carries one request to a replica, and to others if that fails. */
+/**
+ * Forwards one request to a replica, and to further replicas if an attempt
+ * fails.
+ */
 export class ForwardedRequest {
-  readonly #answer: CallerAnswer;
-  readonly #notes: RequestNotes;
-  readonly #ending: RequestEnding;
+  readonly #response: CallerResponse;
+  readonly #recorder: RequestRecorder;
+  readonly #finisher: RequestFinisher;
+  /** Replicas that the request was placed at before. */
   readonly #tried = new Set<BackendServerId>();
-  readonly #events: EventCutter | null;
+  readonly #sseBuffer: SseEventBuffer | null;
   #exchange: RunningExchange | null = null;
   #attempt: GatewayAttempt | null = null;
-  #withdrawn: WithdrawReason | null = null;
+  #withdrawReason: WithdrawReason | null = null;
+  /** Attempts of which at least one byte may have left this instance. */
   #sent = 0;
+  /** Attempts that failed before anything was sent. */
   #unsent = 0;
+  /** Whether a replica may have executed the request. */
   #mayHaveRun = false;
-  readonly #times: AnswerTimes;
+  readonly #timings: ResponseTimings;
 
   constructor(
     private readonly context: GatewayContext,
     private readonly request: GatewayRequest,
-    private readonly call: IncomingCall,
-    answer: CallerAnswer,
+    private readonly call: IncomingRequest,
+    answer: CallerResponse,
   ) {
-    this.#answer = answer;
-    this.#times = new AnswerTimes(context.clock);
-    this.#notes = new RequestNotes(context, request);
-    this.#ending = new RequestEnding(
+    this.#response = answer;
+    this.#timings = new ResponseTimings(context.clock);
+    this.#recorder = new RequestRecorder(context, request);
+    this.#finisher = new RequestFinisher(
       context.dialect,
       request.id,
       answer,
-      this.#notes,
+      this.#recorder,
     );
-    const resumes =
+    const isResumable =
       request.route.kind === 'streaming' && request.route.resumable;
-    this.#events = resumes ? new EventCutter(call.head.lastEventId) : null;
+    this.#sseBuffer = isResumable
+      ? new SseEventBuffer(call.head.lastEventId)
+      : null;
   }
 
-  /** Carries the request until the caller has its answer, or is gone. */
+  /** Forwards the request until the caller has its response or has left. */
   async run(): Promise<void> {
     const timer = setTimeout(
       () => {
@@ -91,61 +103,70 @@
       Math.max(0, this.request.deadlineMs - this.context.clock()),
     );
     try {
-      await this.#carry();
+      await this.#runAttempts();
     } finally {
       clearTimeout(timer);
     }
   }
 
-  /** Gives up the attempt that is under way. */
+  /**
+   * Aborts the attempt in progress.
+   *
+   * @param reason - decides whether another replica may be tried
+   */
   withdraw(reason: WithdrawReason): void {
-    // What ends the request for good is not overruled by what moves it.
-    if (this.#withdrawn !== null && movesOn(reason)) {
+    // A reason that ends the request takes precedence over one that moves it to
+    // another replica.
+    if (this.#withdrawReason !== null && movesToOtherReplica(reason)) {
       return;
     }
-    this.#withdrawn = reason;
+    this.#withdrawReason = reason;
     this.#exchange?.abort();
   }
 
-  /** Whether an attempt is the one under way. */
-  runs(attempt: GatewayAttempt): boolean {
+  /** Whether an attempt is the one in progress. */
+  isRunning(attempt: GatewayAttempt): boolean {
     return this.#attempt === attempt;
   }
 
-  async #carry(): Promise<void> {
-    let goesOn = true;
-    while (goesOn) {
-      goesOn = await this.#step();
+  async #runAttempts(): Promise<void> {
+    let continues = true;
+    while (continues) {
+      continues = await this.#placeAndSend();
     }
   }
 
-  /** One attempt; returns whether another follows. */
-  async #step(): Promise<boolean> {
+  /**
+   * Places the request and runs one attempt.
+   *
+   * @returns whether another attempt follows
+   */
+  async #placeAndSend(): Promise<boolean> {
     const { router } = this.context;
-    if (this.#withdrawn !== null) {
-      const left = this.#withdrawn === 'callerLeft';
-      this.#finishWithout(left ? 'callerLeft' : 'backendTimeout', 0, {});
+    if (this.#withdrawReason !== null) {
+      const callerLeft = this.#withdrawReason === 'callerLeft';
+      this.#finishWithCode(callerLeft ? 'callerLeft' : 'backendTimeout', 0, {});
       return false;
     }
     const decision = await placeOnView(this.context, this.request, this.#tried);
-    if (decision.kind === 'send' && this.#outlastsThis(decision.placed)) {
-      this.#finishWithout('instanceLeaving', LEAVING_RETRY_MS, {
+    if (decision.kind === 'send' && this.#outlastsInstance(decision.placed)) {
+      this.#finishWithCode('instanceLeaving', STOPPING_INSTANCE_RETRY_MS, {
         predictedMs: Math.round(decision.placed.predictedWholeMs),
       });
       return false;
     }
     if (decision.kind === 'refuse') {
-      this.#finishWithout(decision.code, decision.retryAfterMs, {
-        ...verdictFacts(decision.verdict),
-        ...queueFacts(decision.best, this.request),
-        ...crashFacts(router.board, this.request),
+      this.#finishWithCode(decision.code, decision.retryAfterMs, {
+        ...admissionFields(decision.verdict),
+        ...queueFields(decision.best, this.request),
+        ...crashFields(router.board, this.request),
         candidates: decision.candidates,
       });
       return false;
     }
-    const { attempt, result } = await this.#try(decision);
+    const { attempt, result } = await this.#sendTo(decision);
     if (result.kind === 'answered') {
-      this.#notes.answered(result.status, this.#progress);
+      this.#recorder.answered(result.status, this.#progress);
       return false;
     }
     const recovery = router.recover(this.request, result, {
@@ -153,12 +174,12 @@
       unsent: this.#unsent,
       mayHaveRun: this.#mayHaveRun,
     });
-    this.#notes.failed(attempt, result, recovery, this.#sent);
-    return this.#follow(recovery);
+    this.#recorder.failed(attempt, result, recovery, this.#sent);
+    return this.#applyRecovery(recovery);
   }
 
-  /** Whether the instance would stop before the request's answer ends. */
-  #outlastsThis({ predictedWholeMs }: PlacedCandidate): boolean {
+  /** Whether the instance would stop before the response is complete. */
+  #outlastsInstance({ predictedWholeMs }: PlacedCandidate): boolean {
     const { stopPlan, clock } = this.context;
     return (
       this.#sent === 0 &&
@@ -166,7 +187,10 @@
     );
   }
 
-  async #try({ placed, candidates }: SendDecision): Promise<TriedAttempt> {
+  async #sendTo({
+    placed,
+    candidates,
+  }: SendDecision): Promise<FinishedAttempt> {
     const { router, connections, lease, metrics } = this.context;
     const { request } = this;
     const { replica } = placed.load;
@@ -177,11 +201,11 @@
       this.#sent + 1,
     );
     this.#attempt = attempt;
-    this.#events?.startOver();
-    this.#notes.placed(attempt, candidates);
-    const assembly = this.#assembly();
+    this.#sseBuffer?.discardPartial();
+    this.#recorder.placed(attempt, candidates);
+    const assembler = this.#createAssembler();
     const exchange = sendAttempt(
-      connections.of(replica, connectionShare(router.board, request)),
+      connections.poolFor(replica, connectionShare(router.board, request)),
       {
         method: this.call.method,
         target: this.call.target,
@@ -189,53 +213,54 @@
         body: this.call.body,
       },
       {
-        mayGo: () => lease.isUsable && router.mayReceive(attempt),
+        maySend: () => lease.isUsable && router.mayReceive(attempt),
         onStart: (status, headers) =>
-          assembly.start(status, headers) && this.#onHead(attempt, assembly),
+          assembler.start(status, headers) && this.#onHead(attempt, assembler),
         onData: chunk => {
           if (attempt.pieces === 0) {
-            this.#notes.firstByte(attempt);
+            this.#recorder.firstByte(attempt);
           }
-          router.onBytes(attempt, assembly.hasRun);
-          this.#times.onPiece();
-          return assembly.take(chunk);
+          router.onBytes(attempt, assembler.wasExecuted);
+          this.#timings.onChunk();
+          return assembler.push(chunk);
         },
       },
     );
     this.#exchange = exchange;
-    const end = await exchange.ended;
+    const exchangeEnd = await exchange.ended;
     this.#exchange = null;
     this.#attempt = null;
-    const result = this.#resultOf(end, assembly);
+    const result = this.#toResult(exchangeEnd, assembler);
     router.onEnded(attempt, result);
     metrics.attempts.inc({ service: request.service.id, result: result.kind });
-    this.#count(result, replica.id);
+    this.#countAttempt(result, replica.id);
     return { attempt, result };
   }
 
-  #assembly(): AnswerAssembly {
-    return new AnswerAssembly({
+  #createAssembler(): ResponseAssembler {
+    return new ResponseAssembler({
       requestId: this.request.id,
       kind: this.request.route.kind,
       dialect: this.context.dialect,
-      answer: this.#answer,
-      events: this.#events,
+      answer: this.#response,
+      events: this.#sseBuffer,
       resume: () => this.#exchange?.resume(),
     });
   }
 
-  #onHead(attempt: GatewayAttempt, assembly: AnswerAssembly): true {
+  #onHead(attempt: GatewayAttempt, assembler: ResponseAssembler): true {
     const { router } = this.context;
-    // Another replica at the address names no limit, and says nothing of this one's.
-    if (assembly.hasRun || assembly.limitPerS !== null) {
-      router.onLimit(attempt, assembly.limitPerS);
+    // A response without the stamp may come from another replica at the same
+    // address; that it states no limit says nothing about this replica.
+    if (assembler.wasExecuted || assembler.limitPerS !== null) {
+      router.onLimit(attempt, assembler.limitPerS);
     }
-    if (assembly.load) {
-      router.onReported(attempt, assembly.load);
+    if (assembler.load) {
+      router.onReported(attempt, assembler.load);
     }
-    if (!assembly.relays) {
-      this.#notes.firstByte(attempt);
-      router.onBytes(attempt, assembly.hasRun);
+    if (!assembler.isRelaying) {
+      this.#recorder.firstByte(attempt);
+      router.onBytes(attempt, assembler.wasExecuted);
     }
     return true;
   }
@@ -244,44 +269,48 @@
     const { request, call, context } = this;
     const { dialect } = context;
     return dialect.toBackend(call.headers, {
-      host: hostOf(call.headers),
+      host: hostHeader(call.headers),
       timeLeftMs: Math.max(1, Math.floor(request.deadlineMs - context.clock())),
       backendServer: attempt.load.replica.id,
       organisation: request.organisation,
       priority: request.service.engine ? attempt.rank : null,
-      lastEventId: this.#events?.lastId ?? call.head.lastEventId,
+      lastEventId: this.#sseBuffer?.lastId ?? call.head.lastEventId,
       fetchFrom: attempt.fetch?.from.address ?? null,
     });
   }
 
-  #resultOf(end: ExchangeEnd, assembly: AnswerAssembly): AttemptResult {
-    switch (end.kind) {
+  #toResult(
+    exchangeEnd: ExchangeEnd,
+    assembler: ResponseAssembler,
+  ): AttemptResult {
+    switch (exchangeEnd.kind) {
       case 'complete': {
-        const { result, failure } = assembly.complete();
-        this.#ending.keepFailure(failure);
+        const { result, failure } = assembler.complete();
+        this.#finisher.keepFailure(failure);
         return result;
       }
       case 'aborted':
-        return this.#afterAbort(end.sent);
+        return this.#toAbortResult(exchangeEnd.sent);
       case 'failed':
-        return end.sent
-          ? { kind: 'lost', reason: end.reason }
-          : { kind: 'unsent', reason: end.reason };
+        return exchangeEnd.sent
+          ? { kind: 'lost', reason: exchangeEnd.reason }
+          : { kind: 'unsent', reason: exchangeEnd.reason };
     }
   }
 
-  #afterAbort(sent: boolean): AttemptResult {
-    const reason = this.#withdrawn;
+  #toAbortResult(sent: boolean): AttemptResult {
+    const reason = this.#withdrawReason;
     if (reason === null) {
       return { kind: 'lost', reason: 'answer of another request' };
     }
-    // Whatever waited for a connection to the earlier run never reached it.
+    // A request that was still waiting for a connection did not reach the
+    // earlier run of the replica.
     return reason === 'replicaRestarted' && !sent
       ? { kind: 'unsent', reason }
       : { kind: 'withdrawn', reason };
   }
 
-  #count(result: AttemptResult, replica: BackendServerId): void {
+  #countAttempt(result: AttemptResult, replica: BackendServerId): void {
     if (result.kind === 'unsent') {
       this.#unsent += 1;
     } else {
@@ -291,48 +320,62 @@
     this.#mayHaveRun ||= !['notRun', 'unsent'].includes(result.kind);
   }
 
-  /** Takes the next step; returns whether another attempt follows. */
-  #follow(recovery: Recovery): boolean {
+  /**
+   * Acts on a recovery decision.
+   *
+   * @returns whether another attempt follows
+   */
+  #applyRecovery(recovery: Recovery): boolean {
     switch (recovery.kind) {
       case 'retry':
-        if (this.#withdrawn !== null && movesOn(this.#withdrawn)) {
-          this.#withdrawn = null;
+        if (
+          this.#withdrawReason !== null &&
+          movesToOtherReplica(this.#withdrawReason)
+        ) {
+          this.#withdrawReason = null;
         }
-        if (this.#withdrawn !== null || this.#answer.isClosed) {
-          this.#finishWithout('callerLeft', 0, {});
+        if (this.#withdrawReason !== null || this.#response.isClosed) {
+          this.#finishWithCode('callerLeft', 0, {});
           return false;
         }
         return true;
       case 'passOn':
-        this.#ending.passOnFailure(this.#progress);
+        this.#finisher.forwardFailure(this.#progress);
         return false;
       case 'answer':
-        this.#finishWithout(recovery.code, recovery.retryAfterMs, {});
+        this.#finishWithCode(recovery.code, recovery.retryAfterMs, {});
         return false;
     }
   }
 
-  #finishWithout(code: ResultCodeId, retryAfterMs: number, facts: Facts): void {
-    this.#ending.finishWithout(code, retryAfterMs, facts, this.#progress);
+  #finishWithCode(
+    code: ResultCodeId,
+    retryAfterMs: number,
+    facts: LogFields,
+  ): void {
+    this.#finisher.finishWithCode(code, retryAfterMs, facts, this.#progress);
   }
 
-  get #progress(): Progress {
+  get #progress(): RequestProgress {
     return {
       sent: this.#sent,
       unsent: this.#unsent,
       mayHaveRun: this.#mayHaveRun,
-      firstByteMs: this.#times.firstByteMs,
-      longestPauseMs: this.#times.longestPauseMs,
+      firstByteMs: this.#timings.firstByteMs,
+      longestPauseMs: this.#timings.longestPauseMs,
     };
   }
 }
 
-/** Whether a request goes on elsewhere, where it may, after such a withdrawal. */
-function movesOn(reason: WithdrawReason): boolean {
+/**
+ * Whether the request may be retried at another replica after a withdrawal for
+ * this reason.
+ */
+function movesToOtherReplica(reason: WithdrawReason): boolean {
   return reason === 'silent' || reason === 'replicaRestarted';
 }
 
-function hostOf(headers: RawHeaders): string {
+function hostHeader(headers: RawHeaders): string {
   const index = headers.findIndex(
     (text, place) => place % 2 === 0 && text.toLowerCase() === 'host',
   );
--- /dev/null
+++ b/packages/gateway/src/forward/RequestFinisher.ts
@@ -0,0 +1,96 @@
+import type { RequestId, ResultCodeId } from '@jujubecroft/types';
+import { RESULT_CODES } from '@jujubecroft/types';
+
+import type { CallerDialect } from '../ports/CallerDialect.js';
+import type { CallerResponse, CompleteResponse } from './CallerResponse.js';
+import { gatewayResponse } from './gatewayResponse.js';
+import type {
+  LogFields,
+  RequestProgress,
+  RequestRecorder,
+} from './RequestRecorder.js';
+
+/** Finishes a request that gets no complete response from a replica. */
+export class RequestFinisher {
+  #failure: CompleteResponse | null = null;
+
+  /**
+   * @param dialect - header names and formats of the deployment
+   * @param request - id of the request
+   * @param answer - response to the caller
+   * @param notes - logs and counts the outcome
+   */
+  constructor(
+    private readonly dialect: CallerDialect,
+    private readonly request: RequestId,
+    private readonly answer: CallerResponse,
+    private readonly notes: RequestRecorder,
+  ) {}
+
+  /**
+   * Remembers an error response of a replica, to be used if nothing better
+   * follows.
+   */
+  keepFailure(failure: CompleteResponse | null): void {
+    this.#failure = failure ?? this.#failure;
+  }
+
+  /** Finishes the request with the error response of a replica. */
+  forwardFailure(progress: RequestProgress): void {
+    const failure = this.#failure;
+    if (!failure || this.answer.hasStarted) {
+      this.finishWithCode('backendMaybeRan', 0, {}, progress);
+      return;
+    }
+    if (!this.answer.isClosed) {
+      this.answer.send(failure);
+    }
+    this.notes.ended('requestCut', `status ${failure.status}`, progress, {});
+  }
+
+  /**
+   * Finishes the request with a response of the gateway's own.
+   *
+   * @param code - result code
+   * @param retryAfterMs - retry delay in milliseconds; 0 if a retry is of no
+   *   use
+   * @param facts - fields for the log
+   * @param progress - attempts so far
+   */
+  finishWithCode(
+    code: ResultCodeId,
+    retryAfterMs: number,
+    facts: LogFields,
+    progress: RequestProgress,
+  ): void {
+    if (code === 'callerLeft') {
+      this.answer.cut();
+      this.notes.ended('callerLeft', code, progress, facts);
+      return;
+    }
+    const { mayHaveRun } = progress;
+    // The error response of a replica is more specific than a result code of
+    // the gateway.
+    if (this.#failure && !this.answer.hasStarted && mayHaveRun) {
+      this.forwardFailure(progress);
+      return;
+    }
+    const started = this.answer.hasStarted;
+    const isRefusal = RESULT_CODES[code].ran === 'no';
+    const reportedCode = isRefusal && mayHaveRun ? 'backendMaybeRan' : code;
+    if (started) {
+      this.answer.cut();
+    } else if (!this.answer.isClosed) {
+      this.answer.send(
+        gatewayResponse(this.dialect, reportedCode, this.request, retryAfterMs),
+      );
+    }
+    const event =
+      reportedCode === code && isRefusal ? 'requestRefused' : 'requestCut';
+    this.notes.ended(event, reportedCode, progress, {
+      retryAfterMs: Math.round(retryAfterMs),
+      started,
+      ...facts,
+    });
+  }
+}
--- a/packages/gateway/src/forward/RequestNotes.ts
+++ b/packages/gateway/src/forward/RequestRecorder.ts
@@ -11,33 +11,38 @@
 
 import type { GatewayContext } from '../GatewayContext.js';
 
-/** How a request can end without a whole answer. */
-export type UnansweredEnd = 'callerLeft' | 'requestCut' | 'requestRefused';
+/** Outcomes of a request without a complete response. */
+export type UnansweredOutcome = 'callerLeft' | 'requestCut' | 'requestRefused';
 
-/** Fields of a log line. */
-export type Facts = Readonly<Record<string, unknown>>;
+/** Fields of a log entry. */
+export type LogFields = Readonly<Record<string, unknown>>;
 
-/** How far a request has got. */
-export interface Progress {
+/** Progress of a request over all its attempts. */
+export interface RequestProgress {
+  /** Attempts of which at least one byte may have left this instance. */
   readonly sent: number;
+  /** Attempts that failed before anything was sent. */
   readonly unsent: number;
-  /** Whether an attempt may have run at a replica. */
+  /** Whether a replica may have executed the request. */
   readonly mayHaveRun: boolean;
-  /** When the first byte of its answer came; null before. */
+  /**
+   * Time of the first byte by the clock, in milliseconds; null before it
+   * arrived.
+   */
   readonly firstByteMs: number | null;
-  /** Longest pause between two pieces of its answer, in milliseconds. */
+  /** Longest pause between two chunks of the response, in milliseconds. */
   readonly longestPauseMs: number;
 }
 
 const MS_PER_SECOND = 1000;
 
 /**
- * The numbers of an admission for the log.
+ * Log fields of an admission decision.
  *
- * @param verdict - null where there was nothing to judge
- * @returns the fields
+ * @param verdict - the decision; null if there was nothing to decide
+ * @returns predicted and allowed times, in milliseconds
  */
-export function verdictFacts(verdict: GatewayVerdict | null): Facts {
+export function admissionFields(verdict: GatewayVerdict | null): LogFields {
   return verdict
     ? {
         predictedMs: Math.round(verdict.predictedMs),
@@ -49,16 +54,16 @@
 }
 
 /**
- * What stands before a refused request at the replica that was best for it.
+ * Log fields of the queue at the best replica for a refused request.
  *
- * @param best - null where there was none
- * @param request - that was refused
- * @returns the fields
+ * @param best - the best replica; null if there was none
+ * @param request - the refused request
+ * @returns the fields; none without a replica
  */
-export function queueFacts(
+export function queueFields(
   best: PlacedCandidate | null,
   { priority }: GatewayRequest,
-): Facts {
+): LogFields {
   return best
     ? {
         backendServer: best.load.replica.id,
@@ -70,16 +75,16 @@
 }
 
 /**
- * The crashes that are held against a request.
+ * Log fields of the crashes that are attributed to a refused request.
  *
- * @param board - the blackboard
- * @param request - that was refused
- * @returns the fields; none where there was no crash
+ * @param board - shared state of the decision logic
+ * @param request - the refused request
+ * @returns the fields; none without such crashes
  */
-export function crashFacts(
+export function crashFields(
   { crashes }: GatewayBoard,
   request: GatewayRequest,
-): Facts {
+): LogFields {
   if (crashes.isEmpty) {
     return {};
   }
@@ -88,8 +93,8 @@
   return crashed.length > 0 ? { fingerprint, crashed } : {};
 }
 
-/** Logs and counts what becomes of one request. */
-export class RequestNotes {
+/** Logs the events of one request and counts them in the metrics. */
+export class RequestRecorder {
   readonly #labels: { readonly kind: string; readonly priority: string };
 
   constructor(
@@ -102,7 +107,7 @@
     };
   }
 
-  /** An attempt goes to a replica. */
+  /** Records that an attempt was placed at a replica. */
   placed(attempt: GatewayAttempt, candidates: number): void {
     const { context, request } = this;
     const { board } = context.router;
@@ -135,7 +140,7 @@
     });
   }
 
-  /** The first byte of an answer came. */
+  /** Records the first byte of a response. */
   firstByte({ sentMs, predictedMs }: GatewayAttempt): void {
     const { context, request } = this;
     const tookMs = context.clock() - sentMs;
@@ -145,7 +150,7 @@
     );
   }
 
-  /** An attempt gave no answer for the caller. */
+  /** Records an attempt without a response for the caller. */
   failed(
     { load }: GatewayAttempt,
     result: AttemptResult,
@@ -171,8 +176,8 @@
     });
   }
 
-  /** The caller got a whole answer. */
-  answered(status: number, progress: Progress): void {
+  /** Records that the caller received a complete response. */
+  answered(status: number, progress: RequestProgress): void {
     const { sent, unsent, firstByteMs, longestPauseMs } = progress;
     const { context, request } = this;
     const { metrics } = context;
@@ -194,12 +199,12 @@
     });
   }
 
-  /** The request ended without a whole answer. */
+  /** Records a request that ended without a complete response. */
   ended(
-    event: UnansweredEnd,
+    event: UnansweredOutcome,
     code: string,
-    { sent, unsent }: Progress,
-    facts: Facts,
+    { sent, unsent }: RequestProgress,
+    facts: LogFields,
   ): void {
     const { context, request } = this;
     const { priority } = this.#labels;
--- /dev/null
+++ b/packages/gateway/src/forward/ResponseAssembler.ts
@@ -0,0 +1,192 @@
+import type { AttemptResult, ReportedLoad } from '@jujubecroft/decisions';
+import type { RequestId, RouteKind } from '@jujubecroft/types';
+
+import type {
+  AnswerHead,
+  CallerDialect,
+  RawHeaders,
+} from '../ports/CallerDialect.js';
+import type { CallerResponse, CompleteResponse } from './CallerResponse.js';
+import type { SseEventBuffer } from './SseEventBuffer.js';
+
+const MIN_ERROR_STATUS = 400;
+const MIN_SERVER_ERROR_STATUS = 500;
+/** Responses up to this size are buffered until they are complete. */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
+
+/** Settings and collaborators of a `ResponseAssembler`. */
+export interface ResponseAssemblerOptions {
+  readonly requestId: RequestId;
+  readonly kind: RouteKind;
+  readonly dialect: CallerDialect;
+  readonly answer: CallerResponse;
+  /**
+   * Splits a resumable stream into complete events; null for every other
+   * request.
+   */
+  readonly events: SseEventBuffer | null;
+  /** Called once the caller accepts more data after backpressure. */
+  readonly resume: () => void;
+}
+
+/** Outcome of a complete response. */
+export interface ResponseAssemblyResult {
+  readonly result: AttemptResult;
+  /** An error response that may still be sent to the caller; null otherwise. */
+  readonly failure: CompleteResponse | null;
+}
+
+/**
+ * Receives the response of one attempt.
+ *
+ * Streams are relayed to the caller as they arrive. Every other response is
+ * buffered until it is complete, so that a truncated one can be replaced by the
+ * response of another replica or by an accurate error.
+ */
+export class ResponseAssembler {
+  readonly #buffered: Buffer[] = [];
+  #bufferedBytes = 0;
+  #head: AnswerHead | null = null;
+  #status = 0;
+  #headers: RawHeaders = [];
+  #isRelaying = false;
+
+  constructor(private readonly options: ResponseAssemblerOptions) {}
+
+  /** Load that the replica reported; null if it reported none. */
+  get load(): ReportedLoad | null {
+    return this.#head?.load ?? null;
+  }
+
+  /**
+   * Whether the response carries the stamp that proves execution by the
+   * replica.
+   */
+  get wasExecuted(): boolean {
+    return this.#head !== null && this.#head.isStamped && !this.#head.notRun;
+  }
+
+  /**
+   * Requests per second that the replica accepts; null if it states no limit.
+   */
+  get limitPerS(): number | null {
+    return this.#head?.limitPerS ?? null;
+  }
+
+  /** Whether the body is relayed to the caller as it arrives. */
+  get isRelaying(): boolean {
+    return this.#isRelaying;
+  }
+
+  /**
+   * Accepts the response head.
+   *
+   * @returns whether the response belongs to this request
+   */
+  start(status: number, headers: RawHeaders): boolean {
+    const { requestId, kind, dialect } = this.options;
+    const head = dialect.readAnswer(status, headers);
+    // A late response to another request can arrive in place of the expected
+    // one.
+    if (head.requestId !== requestId && !head.notRun) {
+      return false;
+    }
+    const isSuccess = status < MIN_ERROR_STATUS;
+    if (isSuccess && !head.isStamped) {
+      return false;
+    }
+    this.#head = head;
+    this.#status = status;
+    this.#headers = headers;
+    this.#isRelaying = kind === 'streaming' && isSuccess && !head.notRun;
+    return true;
+  }
+
+  /**
+   * Accepts a chunk of the body.
+   *
+   * @returns false if the replica should pause
+   */
+  push(chunk: Buffer): boolean {
+    if (this.#isRelaying) {
+      return this.#relay(this.options.events?.push(chunk) ?? chunk);
+    }
+    this.#buffered.push(chunk);
+    this.#bufferedBytes += chunk.length;
+    const isWithinLimit = this.#bufferedBytes <= MAX_BUFFERED_BYTES;
+    if (isWithinLimit || this.#status >= MIN_ERROR_STATUS) {
+      return true;
+    }
+    this.#isRelaying = true;
+    return this.#relay(Buffer.concat(this.#buffered));
+  }
+
+  /**
+   * Finishes a complete response and sends it to the caller unless it is an
+   * error that a retry may replace.
+   */
+  complete(): ResponseAssemblyResult {
+    if (!this.#head) {
+      return { result: { kind: 'lost', reason: 'no answer' }, failure: null };
+    }
+    const status = this.#status;
+    if (this.#head.notRun) {
+      const reason = `status ${status}`;
+      return { result: { kind: 'notRun', reason }, failure: null };
+    }
+    if (this.#isRelaying) {
+      this.#relay(this.options.events?.flush() ?? Buffer.alloc(0));
+      this.#endRelay();
+      return { result: { kind: 'answered', status }, failure: null };
+    }
+    return this.#completeBuffered();
+  }
+
+  #completeBuffered(): ResponseAssemblyResult {
+    const { dialect, answer } = this.options;
+    const status = this.#status;
+    const response: CompleteResponse = {
+      status,
+      headers: dialect.toCaller(this.#headers),
+      body: Buffer.concat(this.#buffered),
+    };
+    if (status >= MIN_SERVER_ERROR_STATUS || answer.hasStarted) {
+      return { result: { kind: 'failed', status }, failure: response };
+    }
+    if (!answer.isClosed) {
+      answer.send(response);
+    }
+    return { result: { kind: 'answered', status }, failure: null };
+  }
+
+  #relay(chunk: Buffer): boolean {
+    const { answer, resume } = this.options;
+    if (answer.isClosed || chunk.length === 0) {
+      return true;
+    }
+    this.#startRelay();
+    const acceptsMore = answer.write(chunk);
+    if (!acceptsMore) {
+      answer.onDrain(resume);
+    }
+    return acceptsMore;
+  }
+
+  #endRelay(): void {
+    const { answer } = this.options;
+    if (!answer.isClosed) {
+      this.#startRelay();
+      answer.end();
+    }
+  }
+
+  /**
+   * Sends the head once; a resumed stream keeps the head of its first replica.
+   */
+  #startRelay(): void {
+    const { answer, dialect } = this.options;
+    if (!answer.hasStarted) {
+      answer.start(this.#status, dialect.toCaller(this.#headers));
+    }
+  }
+}
--- a/packages/gateway/src/forward/AnswerTimes.ts
+++ b/packages/gateway/src/forward/ResponseTimings.ts
@@ -1,24 +1,33 @@
-/** When the pieces of an answer came, over all replicas that took part in it. */
-export class AnswerTimes {
+/**
+ * Records when the chunks of a response arrived, across all replicas that
+ * contributed to it.
+ */
+export class ResponseTimings {
   #firstByteMs: number | null = null;
   #lastByteMs: number | null = null;
   #longestPauseMs = 0;
 
-  /** @param clock - steady, in milliseconds */
+  /** @param clock - monotonic clock, in milliseconds */
   constructor(private readonly clock: () => number) {}
 
-  /** When the first byte came; null before. */
+  /**
+   * Time of the first byte by the clock, in milliseconds; null before it
+   * arrived.
+   */
   get firstByteMs(): number | null {
     return this.#firstByteMs;
   }
 
-  /** Longest pause between two pieces, from one replica to the next as well. */
+  /**
+   * Longest pause between two chunks in milliseconds, including a change of
+   * replica.
+   */
   get longestPauseMs(): number {
     return this.#longestPauseMs;
   }
 
-  /** Notes a piece. */
-  onPiece(): void {
+  /** Records the arrival of a chunk. */
+  onChunk(): void {
     const nowMs = this.clock();
     const pauseMs = nowMs - (this.#lastByteMs ?? nowMs);
     this.#longestPauseMs = Math.max(this.#longestPauseMs, pauseMs);
--- a/packages/gateway/src/forward/fingerprintOf.ts
+++ b/packages/gateway/src/forward/fingerprintOf.ts
@@ -2,30 +2,34 @@
 import type { OrganisationId, RequestFingerprint } from '@jujubecroft/types';
 import { brand } from '@jujubecroft/types';
 
-import type { IncomingCall } from './ForwardedRequest.js';
+import type { IncomingRequest } from './ForwardedRequest.js';
 
-/** Hexadecimal digits that are kept; too many for one caller to meet another's. */
-const DIGITS = 16;
+/**
+ * Hexadecimal digits of the hash that are kept; 64 bits make collisions between
+ * callers improbable.
+ */
+const HEX_DIGITS = 16;
 
 /**
- * Works out what a request has in common with its repeats.
+ * Computes a fingerprint that is equal for repeats of a request.
  *
- * Repeats come under new ids, at any instance. The organisation is part of it, so that
- * nobody can bring another's requests into discredit.
+ * Repeats carry new request ids and may arrive at any instance. The
+ * organisation is part of the fingerprint, so that one organisation cannot get
+ * the requests of another barred.
  *
- * @param call - as the caller sent it
- * @param organisation - of the caller; null on public routes
- * @returns the start of a cryptographic hash
+ * @param call - the request as the caller sent it
+ * @param organisation - organisation of the caller; null on public routes
+ * @returns the first digits of a SHA-256 hash
  */
 export function fingerprintOf(
-  { method, target, body }: Pick<IncomingCall, 'body' | 'method' | 'target'>,
+  { method, target, body }: Pick<IncomingRequest, 'body' | 'method' | 'target'>,
   organisation: OrganisationId | null,
 ): RequestFingerprint {
   const hash = createHash('sha256');
-  // Quotes keep the parts from running into each other.
+  // JSON quotes the parts, so that different parts never yield the same text.
   hash.update(JSON.stringify([organisation, method, target]));
   if (body) {
     hash.update(body);
   }
-  return brand<RequestFingerprint>(hash.digest('hex').slice(0, DIGITS));
+  return brand<RequestFingerprint>(hash.digest('hex').slice(0, HEX_DIGITS));
 }
--- a/packages/gateway/src/forward/ownAnswer.ts
+++ b/packages/gateway/src/forward/gatewayResponse.ts
@@ -2,23 +2,23 @@
 import { RESULT_CODES } from '@jujubecroft/types';
 
 import type { CallerDialect } from '../ports/CallerDialect.js';
-import type { WholeAnswer } from './CallerAnswer.js';
+import type { CompleteResponse } from './CallerResponse.js';
 
 /**
- * Builds an answer of this system's own.
+ * Builds an error response of the gateway's own.
  *
- * @param dialect - how it is said in headers
- * @param code - row of the catalogue of result codes
- * @param requestId - null where the request has none
- * @param retryAfterMs - when to come back; 0 where that is of no use
- * @returns the whole answer
+ * @param dialect - header names and formats of the deployment
+ * @param code - result code
+ * @param requestId - id of the request; null if it has none
+ * @param retryAfterMs - retry delay in milliseconds; 0 if a retry is of no use
+ * @returns the complete response
  */
-export function ownAnswer(
+export function gatewayResponse(
   dialect: CallerDialect,
   code: ResultCodeId,
   requestId: RequestId | null,
   retryAfterMs: number,
-): WholeAnswer {
+): CompleteResponse {
   const { number, httpStatus, summary, action, ran }: ResultCode =
     RESULT_CODES[code];
   const error = { code: number, type: code, message: summary, ran, action };
--- a/packages/gateway/src/forward/placeOnView.ts
+++ b/packages/gateway/src/forward/placeOnView.ts
@@ -3,16 +3,20 @@
 
 import type { GatewayContext } from '../GatewayContext.js';
 
-/** Told by an instance that is behind; callers find another at once. */
-export const BEHIND_RETRY_MS = 50;
+/**
+ * Retry delay sent while the view of this instance is outdated; short, since
+ * callers can reach another instance at once.
+ */
+export const STALE_VIEW_RETRY_MS = 50;
 
 /**
- * Decides where a request goes, by what the instance knows of the replicas.
+ * Places a request by this instance's view of the replicas, if the view is
+ * current enough.
  *
- * @param context - of the instance
+ * @param context - shared parts of the instance
  * @param request - the request
- * @param tried - replicas that it was sent to before
- * @returns the replica, or why it is turned away
+ * @param tried - replicas that it was placed at before
+ * @returns the replica, or the reason for a refusal
  */
 export async function placeOnView(
   { router, lease }: GatewayContext,
@@ -25,7 +29,7 @@
     : {
         kind: 'refuse',
         code: 'viewOutdated',
-        retryAfterMs: BEHIND_RETRY_MS,
+        retryAfterMs: STALE_VIEW_RETRY_MS,
         verdict: null,
         best: null,
         candidates: 0,
--- a/packages/gateway/src/front/RequestsUnderWay.ts
+++ b/packages/gateway/src/front/InFlightRequests.ts
@@ -4,18 +4,21 @@
 import type { GatewayContext } from '../GatewayContext.js';
 import { nextTurn } from '../util/nextTurn.js';
 
-/** Time between looks for attempts that fell silent, in milliseconds. */
-const CHECK_EVERY_MS = 50;
-/** Late looks in a row that are left out; an instance may be late all the time. */
-const MAX_LEFT_OUT = 3;
+/** Interval between checks for silent attempts. */
+const CHECK_INTERVAL_MS = 50;
+/**
+ * Late checks in a row that may be skipped; bounded, since an overloaded
+ * instance may always be late.
+ */
+const MAX_SKIPPED_CHECKS = 3;
 
 /**
- * The requests of one instance that have not ended.
+ * The unfinished requests of one instance.
  *
- * Only while there are any are they looked after: a timer that finds nothing to do
- * was a third of the wake-ups of an idle instance.
+ * Attempts are checked only while there are requests: a timer without work
+ * caused a third of the wake-ups of an idle instance.
  */
-export class RequestsUnderWay {
+export class InFlightRequests {
   readonly #requests = new Set<ForwardedRequest>();
   #timer: NodeJS.Timeout | null = null;
 
@@ -25,10 +28,10 @@
     return this.#requests.size;
   }
 
-  /** Runs a request and keeps it until it ends. */
+  /** Runs a request and tracks it until it ends. */
   async track(request: ForwardedRequest): Promise<void> {
     this.#requests.add(request);
-    this.#timer ??= this.#startToLook();
+    this.#timer ??= this.#startChecks();
     try {
       await request.run();
     } finally {
@@ -39,6 +42,7 @@
     }
   }
 
+  /** Stops the checks. */
   stop(): void {
     if (this.#timer) {
       clearInterval(this.#timer);
@@ -47,33 +51,35 @@
   }
 
   /**
-   * Looks for silent attempts again and again, each time once all is read.
+   * Checks for silent attempts at a fixed interval.
    *
-   * Guards against an instance that is held up and takes the time for a replica's
-   * silence: it shows as repeats of requests whose answers wait to be read. Looks
-   * that come late are left out, a few in a row at most, since the replica's answer
-   * may still be on its way to be read.
+   * If the event loop is blocked, responses wait unread and the delay looks
+   * like a silent replica, which would cause needless retries. Each check
+   * therefore runs after pending reads, and checks that run late are skipped,
+   * up to a few in a row.
    */
-  #startToLook(): NodeJS.Timeout {
+  #startChecks(): NodeJS.Timeout {
     let lastMs = this.context.clock();
-    let leftOut = 0;
+    let skippedChecks = 0;
     return setInterval(() => {
       const nowMs = this.context.clock();
-      const isLate = nowMs - lastMs > 2 * CHECK_EVERY_MS;
+      const isLate = nowMs - lastMs > 2 * CHECK_INTERVAL_MS;
       lastMs = nowMs;
-      if (isLate && leftOut < MAX_LEFT_OUT) {
-        leftOut += 1;
+      if (isLate && skippedChecks < MAX_SKIPPED_CHECKS) {
+        skippedChecks += 1;
         return;
       }
-      leftOut = 0;
+      skippedChecks = 0;
       void nextTurn().then(() => {
-        this.#look();
+        this.#checkAttempts();
       });
-    }, CHECK_EVERY_MS);
+    }, CHECK_INTERVAL_MS);
   }
 
-  /** Looks for attempts that should go on elsewhere, or not at all. */
-  #look(): void {
+  /**
+   * Withdraws attempts that must move to another replica or must not continue.
+   */
+  #checkAttempts(): void {
     const { router } = this.context;
     this.#withdraw(router.findSilent(), 'silent');
     this.#withdraw(router.takeOrphans(), 'replicaRestarted');
@@ -83,7 +89,7 @@
   #withdraw(attempts: readonly GatewayAttempt[], reason: WithdrawReason): void {
     attempts.forEach(attempt => {
       [...this.#requests]
-        .filter(request => request.runs(attempt))
+        .filter(request => request.isRunning(attempt))
         .forEach(request => {
           request.withdraw(reason);
         });
--- /dev/null
+++ b/packages/gateway/src/front/createCallerServer.ts
@@ -0,0 +1,85 @@
+import type { Server } from 'node:http';
+import type { FastifyInstance } from 'fastify';
+import type { CallerLimits } from '@jujubecroft/types';
+
+import { createApp } from '../createApp.js';
+import type { GatewayContext } from '../GatewayContext.js';
+import { handleRequest } from './handleRequest.js';
+import type { InFlightRequests } from './InFlightRequests.js';
+
+/**
+ * Limit of the HTTP parser for request heads. The declared limit is checked
+ * after parsing, since it may change while the server runs.
+ */
+const PARSER_MAX_HEAD_BYTES = 64 * 1024;
+/** Timeout for reading a request head until a configuration is known. */
+const DEFAULT_HEADER_TIMEOUT_MS = 5000;
+/** Timeout for idle connections until a configuration is known. */
+const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
+/**
+ * Timeout for reading a complete request; the time limit of the request usually
+ * ends it earlier.
+ */
+const REQUEST_TIMEOUT_MS = 60_000;
+/** Interval at which the server checks connections against its timeouts. */
+const TIMEOUT_CHECK_INTERVAL_MS = 500;
+
+/** HTTP server for callers. */
+export interface CallerServer {
+  readonly app: FastifyInstance;
+  readonly server: Server;
+  /** Applies the limits of a configuration. */
+  readonly limit: (limits: CallerLimits) => void;
+}
+
+/**
+ * Creates the HTTP server for callers.
+ *
+ * Every request is taken over before the framework parses its content, since
+ * the gateway forwards it byte for byte, whatever its method, path and content
+ * type.
+ *
+ * @param context - shared parts of the instance
+ * @param inFlight - unfinished requests
+ * @returns the server, not listening yet
+ */
+export function createCallerServer(
+  context: GatewayContext,
+  inFlight: InFlightRequests,
+): CallerServer {
+  const app = createApp({
+    keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS,
+    requestTimeout: REQUEST_TIMEOUT_MS,
+    http: {
+      maxHeaderSize: PARSER_MAX_HEAD_BYTES,
+      headersTimeout: DEFAULT_HEADER_TIMEOUT_MS,
+      connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
+    },
+    // The framework gets a single path for every request; operators declare the
+    // actual routes.
+    rewriteUrl: () => '/',
+  });
+  const { server } = app;
+  app.addHook('onRequest', (req, reply, done) => {
+    reply.hijack();
+    // `rewriteUrl` replaced the path; restores the one that the caller sent.
+    req.raw.url = req.originalUrl;
+    const onError = (err: unknown): void => {
+      context.log.write('unexpectedError', {
+        error: err instanceof Error ? (err.stack ?? err.message) : String(err),
+      });
+      reply.raw.destroy();
+    };
+    handleRequest(context, inFlight, req.raw, reply.raw).catch(onError);
+    done();
+  });
+  app.get('/', () => '');
+  return {
+    app,
+    server,
+    limit: ({ headerTimeoutMs, idleTimeoutMs }) => {
+      server.headersTimeout = headerTimeoutMs;
+      server.keepAliveTimeout = idleTimeoutMs;
+    },
+  };
+}
--- a/packages/gateway/src/front/handleRequest.ts
+++ b/packages/gateway/src/front/handleRequest.ts
@@ -2,45 +2,47 @@
 import type { GatewayRequest, Match } from '@jujubecroft/decisions';
 import type { RequestId, ResultCodeId } from '@jujubecroft/types';
 
-import { CallerAnswer } from '../forward/CallerAnswer.js';
+import { CallerResponse } from '../forward/CallerResponse.js';
 import { fingerprintOf } from '../forward/fingerprintOf.js';
-import type { IncomingCall } from '../forward/ForwardedRequest.js';
+import type { IncomingRequest } from '../forward/ForwardedRequest.js';
 import { ForwardedRequest } from '../forward/ForwardedRequest.js';
-import { ownAnswer } from '../forward/ownAnswer.js';
-import { BEHIND_RETRY_MS } from '../forward/placeOnView.js';
+import { gatewayResponse } from '../forward/gatewayResponse.js';
+import { STALE_VIEW_RETRY_MS } from '../forward/placeOnView.js';
 import type { GatewayContext } from '../GatewayContext.js';
 import { nextTurn } from '../util/nextTurn.js';
 import { once } from '../util/once.js';
 import { readBody } from './readBody.js';
-import type { RequestsUnderWay } from './RequestsUnderWay.js';
+import type { InFlightRequests } from './InFlightRequests.js';
 
-type Matched = Extract<Match, { kind: 'matched' }>;
+type MatchedRoute = Extract<Match, { kind: 'matched' }>;
 
-/** Told with refusals after which the same request may succeed. */
+/** Retry delays sent with refusals after which the same request may succeed. */
 const RETRY_AFTER_MS: Partial<Record<ResultCodeId, number>> = {
-  // An instance mostly knows a configuration within a second.
+  // An instance usually receives a configuration within a second.
   noRoutingKnown: 500,
-  viewOutdated: BEHIND_RETRY_MS,
+  viewOutdated: STALE_VIEW_RETRY_MS,
 };
-/** Body bound while no configuration is known. */
+/** Limit for request bodies until a configuration is known. */
 const DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024;
+/** Limit for request heads until a configuration is known. */
 const DEFAULT_MAX_HEAD_BYTES = 16 * 1024;
 
 /**
- * Waits until the end of a connection was read, if it has come.
+ * Waits until the event loop has read the end of the connection, if it has
+ * arrived.
  *
- * Guards against working for callers that have left: an instance that is held up
- * finds a request and the end of its connection together, and the request comes
- * first. It shows as replicas that run requests long after their callers gave up,
- * in the seconds after a loss of power above all. The event loop reads the end in
- * the turn after the one that read the request.
+ * When the event loop was blocked, a request and the end of its connection may
+ * arrive together, and the request is read first. Without the wait, replicas
+ * would execute requests whose callers gave up long ago, above all in the
+ * seconds after a power failure. The event loop reads the end in the turn after
+ * the one that read the request, hence two turns.
  */
-async function endIsRead(): Promise<void> {
+async function awaitPendingClose(): Promise<void> {
   await nextTurn();
   await nextTurn();
 }
 
-/** Bytes of the header lines of a request. */
+/** Size of the header lines of a request, in bytes. */
 function headBytes(req: IncomingMessage): number {
   return req.rawHeaders.reduce((sum, text) => sum + text.length + 2, 0);
 }
@@ -50,12 +52,12 @@
   res: ServerResponse,
   code: ResultCodeId,
   id: RequestId | null,
-  facts: Readonly<Record<string, unknown>> = {},
+  fields: Readonly<Record<string, unknown>> = {},
 ): void {
   const retryAfterMs = RETRY_AFTER_MS[code] ?? 0;
-  const answer = new CallerAnswer(res, () => context.leaving);
-  if (!answer.isClosed) {
-    answer.send(ownAnswer(context.dialect, code, id, retryAfterMs));
+  const response = new CallerResponse(res, () => context.leaving);
+  if (!response.isClosed) {
+    response.send(gatewayResponse(context.dialect, code, id, retryAfterMs));
   }
   const table = context.router.board.table;
   context.metrics.refusals.inc({ code, priority: '' });
@@ -64,15 +66,15 @@
     code,
     retryAfterMs,
     configuration: table?.cfg.version ?? null,
-    ...facts,
+    ...fields,
   });
 }
 
 function toGatewayRequest(
   context: GatewayContext,
-  call: IncomingCall,
+  call: IncomingRequest,
   id: RequestId,
-  { route, service, organisation, priority }: Matched,
+  { route, service, organisation, priority }: MatchedRoute,
   arrivedMs: number,
 ): GatewayRequest {
   const { head } = call;
@@ -94,14 +96,14 @@
 /**
  * Handles one request of a caller.
  *
- * @param context - of the instance
- * @param underWay - requests that have not ended
+ * @param context - shared parts of the instance
+ * @param inFlight - unfinished requests
  * @param req - the request
- * @param res - its answer
+ * @param res - its response
  */
 export async function handleRequest(
   context: GatewayContext,
-  underWay: RequestsUnderWay,
+  inFlight: InFlightRequests,
   req: IncomingMessage,
   res: ServerResponse,
 ): Promise<void> {
@@ -123,12 +125,12 @@
     return;
   }
   if (read.kind === 'tooLarge') {
-    // What is left of the body would be read as the next request.
+    // The unread rest of the body would be parsed as the next request.
     res.shouldKeepAlive = false;
     refuse(context, res, 'bodyTooLarge', head.id);
     return;
   }
-  await endIsRead();
+  await awaitPendingClose();
   if (head.id === null) {
     refuse(context, res, 'requestIdMissing', null, { target });
     return;
@@ -143,7 +145,7 @@
     refuse(context, res, match.code, head.id, { path });
     return;
   }
-  const call: IncomingCall = {
+  const call: IncomingRequest = {
     method: req.method ?? 'GET',
     target,
     headers: req.rawHeaders,
@@ -156,7 +158,7 @@
     context,
     request,
     call,
-    new CallerAnswer(res, () => context.leaving),
+    new CallerResponse(res, () => context.leaving),
   );
   const onClose = (): void => {
     if (!res.writableFinished) {
@@ -164,9 +166,9 @@
     }
   };
   res.once('close', onClose);
-  // The caller may have left before its request was read, or meanwhile.
+  // The caller may have left before or while its request was read.
   if (res.destroyed || req.socket.readableEnded) {
     onClose();
   }
-  await underWay.track(forwarded);
+  await inFlight.track(forwarded);
 }
--- a/packages/gateway/src/front/listenEarly.ts
+++ b/packages/gateway/src/front/listenEarly.ts
@@ -1,22 +1,24 @@
 import { readFileSync } from 'node:fs';
 
-import type { HeldConnections } from './holdConnections.js';
+import type { HeldConnections } from './acceptEarlyConnections.js';
 import { parseAddress } from '../util/parseAddress.js';
-import { holdConnections } from './holdConnections.js';
+import { acceptEarlyConnections } from './acceptEarlyConnections.js';
 
-export type { HeldConnections } from './holdConnections.js';
-export { holdConnections } from './holdConnections.js';
+export type { HeldConnections } from './acceptEarlyConnections.js';
+export { acceptEarlyConnections } from './acceptEarlyConnections.js';
 
 /**
- * Listens for callers at the address of the settings, before they are checked.
+ * Listens for callers at the address in the settings file, before the settings
+ * are validated.
  *
- * Loads nothing but what it needs, since the time until then is time in which
- * callers are turned away.
+ * The module imports only what it needs, since callers are refused until it
+ * listens.
  *
- * @param file - path of the settings; undefined where none is named
- * @param addressOf - finds host and port in them
- * @returns null where the settings don't say an address; whoever reads them whole
- * says what is wrong with them
+ * @param file - path of the settings file; undefined if none is given
+ * @param addressOf - returns the value of the address setting, in the form
+ *   `host:port`
+ * @returns null if no valid address was found; the later validation of the
+ *   settings reports the cause
  */
 export function listenEarly(
   file: string | undefined,
@@ -26,17 +28,19 @@
     return null;
   }
   try {
-    const said = addressOf(JSON.parse(readFileSync(file, 'utf8')));
-    const address = parseAddress(String(said));
+    const value = addressOf(JSON.parse(readFileSync(file, 'utf8')));
+    const address = parseAddress(String(value));
     return (
       address &&
-      holdConnections(address.host, address.port, err => {
-        // Listening is tried once more when the server is there, and fails then.
-        console.error(`no early listening at ${address.host}: ${err.message}`);
+      acceptEarlyConnections(address.host, address.port, err => {
+        // Listening is attempted again when the server starts, which then
+        // reports the failure.
+        console.error(`cannot listen early on ${address.host}: ${err.message}`);
       })
     );
   } catch {
-    // The settings are read again with all checks, which name each fault.
+    // The settings are read again with full validation, which reports each
+    // error.
     return null;
   }
 }
--- a/packages/gateway/src/front/readBody.ts
+++ b/packages/gateway/src/front/readBody.ts
@@ -1,12 +1,12 @@
 import type { IncomingMessage } from 'node:http';
 
-/** What came of reading a body. */
-export type BodyRead =
+/** Result of reading a body. */
+export type BodyReadResult =
   | { readonly kind: 'whole'; readonly body: Buffer | null }
   | { readonly kind: 'tooLarge' }
   | { readonly kind: 'broken' };
 
-/** Whether the head announces a body. */
+/** Whether the request head announces a body. */
 function hasBody(req: IncomingMessage): boolean {
   const { headers } = req;
   return (
@@ -16,20 +16,21 @@
 }
 
 /**
- * Reads the whole body of a request.
+ * Reads the complete body of a request.
  *
- * Bodies are small against the memory of an instance, and a body that is whole
- * can be sent with its length, to a second replica too, and never leaves a
- * replica's connection in the middle of one.
+ * Bodies are small compared with the memory of an instance. A complete body can
+ * be sent with its length and can be sent again to a second replica. A caller
+ * that breaks off never leaves a partial request on the connection to a
+ * replica.
  *
  * @param req - the request
- * @param maxBytes - bound on the body
- * @returns the body; null where the request has none
+ * @param maxBytes - limit for the body, in bytes
+ * @returns the body; null within the result if the request has none
  */
 export async function readBody(
   req: IncomingMessage,
   maxBytes: number,
-): Promise<BodyRead> {
+): Promise<BodyReadResult> {
   if (!hasBody(req)) {
     return { kind: 'whole', body: null };
   }
@@ -47,7 +48,7 @@
       chunks.push(chunk);
     }
   } catch {
-    // The caller broke off; nobody is left to answer.
+    // The caller closed the connection; nobody is left to receive a response.
     return { kind: 'broken' };
   }
   return { kind: 'whole', body: Buffer.concat(chunks) };
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -49,6 +49,6 @@
 } from './runFromSettings.js';
 export { runFromSettings } from './runFromSettings.js';
 export { ADDRESS, parseAddress } from './util/parseAddress.js';
-export type { CheckedRead, DocumentFault } from './util/readChecked.js';
+export type { CheckedRead, ValidationIssue } from './util/readChecked.js';
 export { readChecked } from './util/readChecked.js';
 export { fromReplicaFields, toReplicaFields } from './state/gatewayState.js';
--- a/packages/gateway/src/metrics/GatewayMetrics.ts
+++ b/packages/gateway/src/metrics/GatewayMetrics.ts
@@ -1,13 +1,15 @@
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 
-const SECONDS = [0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 2, 4, 8, 16];
-const PREDICTION_ERROR_MS = [-2000, -500, -200, -50, 0, 50, 200, 500, 2000];
+const LATENCY_BUCKETS_S = [0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 2, 4, 8, 16];
+const PREDICTION_ERROR_BUCKETS_MS = [
+  -2000, -500, -200, -50, 0, 50, 200, 500, 2000,
+];
 
 /**
  * Metrics of one instance of the gateway.
  *
- * Labels take values from closed sets or from the declared services and
- * priorities, never from callers.
+ * Label values come from fixed sets or from the declared services and
+ * priorities, never from callers; this bounds the number of time series.
  */
 export class GatewayMetrics {
   readonly registry = new Registry();
@@ -41,21 +43,21 @@
     name: 'jujubecroft_gateway_first_byte_seconds',
     help: 'Time from arrival to the first byte of the answer.',
     labelNames: ['kind', 'priority'] as const,
-    buckets: SECONDS,
+    buckets: LATENCY_BUCKETS_S,
     registers: this.#registers,
   });
   readonly whole = new Histogram({
     name: 'jujubecroft_gateway_answer_seconds',
     help: 'Time from arrival to the end of a whole answer.',
     labelNames: ['kind', 'priority'] as const,
-    buckets: SECONDS,
+    buckets: LATENCY_BUCKETS_S,
     registers: this.#registers,
   });
   readonly predictionError = new Histogram({
     name: 'jujubecroft_gateway_prediction_error_ms',
     help: 'Time to the first byte at the backend server less what was predicted.',
     labelNames: ['service'] as const,
-    buckets: PREDICTION_ERROR_MS,
+    buckets: PREDICTION_ERROR_BUCKETS_MS,
     registers: this.#registers,
   });
   readonly storeCalls = new Counter({
--- a/packages/gateway/src/ports/CallerDialect.ts
+++ b/packages/gateway/src/ports/CallerDialect.ts
@@ -6,69 +6,90 @@
   RequestId,
 } from '@jujubecroft/types';
 
-/** Header names and values in turn, as they stood on the wire. */
+/** Header names and values in alternation, as received on the wire. */
 export type RawHeaders = readonly string[];
 
-/** What the head of a caller's request says. */
+/** Contents of the head of a caller's request. */
 export interface CallerHead {
-  /** Null where the caller sent none. */
+  /** Request id; null if the caller sent none. */
   readonly id: RequestId | null;
-  /** The caller's key; null where there is none. */
+  /** The caller's key; null if there is none. */
   readonly key: string | null;
-  /** How long the caller waits, in milliseconds; null where it doesn't say. */
+  /**
+   * How long the caller is prepared to wait, in milliseconds; null if not
+   * stated.
+   */
   readonly timeLeftMs: number | null;
-  /** Null where the request has no prompt. */
+  /**
+   * Token counts and parts of the prompt; null if the request has no prompt.
+   */
   readonly prompt: PromptFacts | null;
-  /** Last event that the caller has of an earlier stream; null at a first try. */
+  /**
+   * Last event that the caller received of an earlier stream; null on a first
+   * request.
+   */
   readonly lastEventId: string | null;
 }
 
-/** What this system says to a backend server with a request. */
+/** Values that the gateway adds to a request for a backend server. */
 export interface BackendHead {
   readonly host: string;
+  /** Time until the deadline of the request, in milliseconds. */
   readonly timeLeftMs: number;
   readonly backendServer: BackendServerId;
   readonly organisation: OrganisationId | null;
-  /** Rank at the backend server, 0 first; null where it has none. */
+  /**
+   * Rank in the queue of the backend server, 0 first; null if it has no ranks.
+   */
   readonly priority: number | null;
-  /** Where a stream goes on; null at its start. */
+  /** Event after which a stream resumes; null at its start. */
   readonly lastEventId: string | null;
-  /** Address of a replica from which cached prompt parts are copied; null for none. */
+  /**
+   * Address of a replica from which cached prompt parts may be copied; null for
+   * none.
+   */
   readonly fetchFrom: string | null;
 }
 
-/** What the head of a backend server's answer says. */
+/** Contents of the head of a backend server's response. */
 export interface AnswerHead {
-  /** Request that the answer belongs to; null where it doesn't say. */
+  /** Id of the request that the response belongs to; null if not stated. */
   readonly requestId: string | null;
-  /** Whether the answer bears the mark of a run. */
+  /** Whether the response carries the stamp that proves execution. */
   readonly isStamped: boolean;
-  /** Whether the backend server says that it did not run the request. */
+  /** Whether the backend server states that it did not execute the request. */
   readonly notRun: boolean;
-  /** Null where the answer tells no load. */
+  /** Load of the backend server; null if not reported. */
   readonly load: ReportedLoad | null;
   /**
-   * Requests a second that the backend server takes from all instances together;
-   * null where it names no limit.
+   * Requests per second that the backend server accepts from all instances
+   * together; null if it states no limit.
    */
   readonly limitPerS: number | null;
 }
 
 /**
- * How callers and backend servers say things in headers.
+ * Header names and formats that callers and backend servers use.
  *
- * The gateway knows meanings only; a dialect knows the names.
+ * The gateway works with the meanings only; a dialect maps them to headers.
  */
 export interface CallerDialect {
-  /** Reads the head of a caller's request. */
+  /** Reads the headers of a caller's request. */
   readonly readCaller: (raw: RawHeaders) => CallerHead;
-  /** Headers for a backend server: the caller's that go on, and the system's own. */
+  /**
+   * Returns the headers for a backend server: the forwarded headers of the
+   * caller and those of the gateway.
+   */
   readonly toBackend: (raw: RawHeaders, head: BackendHead) => string[];
-  /** Reads the head of an answer. */
+  /** Reads the headers of a response. */
   readonly readAnswer: (status: number, raw: RawHeaders) => AnswerHead;
-  /** Headers of an answer that go on to the caller. */
+  /** Returns the headers of a response that are forwarded to the caller. */
   readonly toCaller: (raw: RawHeaders) => string[];
-  /** Headers of an answer by this system itself. */
+  /**
+   * Returns headers for a response that the gateway generates itself.
+   *
+   * `retryAfterMs` is 0 if a retry is of no use.
+   */
   readonly ownAnswer: (
     requestId: RequestId | null,
     retryAfterMs: number,
--- a/packages/gateway/src/ports/DiscoveryStore.ts
+++ b/packages/gateway/src/ports/DiscoveryStore.ts
@@ -1,41 +1,55 @@
 import type { ListedMember, ReplicaRow } from '@jujubecroft/decisions';
 import type { RoutingConfiguration } from '@jujubecroft/types';
 
-/** Replica entries with the store version that they lead up to. */
+/** Replica entries and the store version up to which they are current. */
 export interface ReplicaRead {
   readonly rows: readonly ReplicaRow[];
   readonly version: number;
-  /** The store's clock when it answered, which is steady. */
+  /** Monotonic clock of the store when it responded, in milliseconds. */
   readonly storeMs: number;
 }
 
-/** A configuration that was read, with the store version for the next watch. */
+/**
+ * A configuration and the store version from which to watch for the next one.
+ */
 export interface ConfigurationRead {
-  /** Null where none is there, or none is new. */
+  /** Null if there is none, or none that is newer. */
   readonly configuration: RoutingConfiguration | null;
   readonly version: number;
-  /** The store's clock when it answered, which is steady. */
+  /** Monotonic clock of the store when it responded, in milliseconds. */
   readonly storeMs: number;
 }
 
-/** A watch whose history the store has dropped; a full read must follow. */
+/**
+ * Result of a watch if the store has discarded the history it needs; a full
+ * read must follow.
+ */
 export const HISTORY_GONE = 'historyGone';
 
-/** What the gateway needs of the store; every call rejects when it fails. */
+/**
+ * Operations of the store that the gateway uses; every call rejects on failure.
+ */
 export interface DiscoveryStore {
   readonly readConfiguration: () => Promise<ConfigurationRead>;
-  /** Waits for a newer configuration, up to a while. */
+  /**
+   * Waits up to `waitMs` milliseconds for a configuration newer than version
+   * `after`.
+   */
   readonly watchConfiguration: (
     after: number,
     waitMs: number,
   ) => Promise<ConfigurationRead | typeof HISTORY_GONE>;
   readonly readReplicas: () => Promise<ReplicaRead>;
-  /** Replica entries that changed, without waiting. */
+  /**
+   * Returns the replica entries that changed after version `after`, without
+   * waiting.
+   */
   readonly changedReplicas: (
     after: number,
   ) => Promise<ReplicaRead | typeof HISTORY_GONE>;
-  /** Leaves a note of this instance for others that start. */
+  /** Stores an entry for this instance, so that starting instances find it. */
   readonly announce: (self: ListedMember) => Promise<void>;
+  /** Returns the stored entries of all instances. */
   readonly listInstances: () => Promise<readonly ListedMember[]>;
   readonly close: () => void;
 }
--- a/packages/gateway/src/ports/DutyPorts.ts
+++ b/packages/gateway/src/ports/DutyPorts.ts
@@ -6,13 +6,16 @@
 } from '@jujubecroft/decisions';
 import type { InstanceId } from '@jujubecroft/types';
 
-/** The row of the holding, with the store's clock when it was read. */
+/**
+ * The row that records the holder of the duties, with the store's clock at the
+ * read, in milliseconds.
+ */
 export interface HoldingRead {
   readonly row: HoldingRow;
   readonly storeMs: number;
 }
 
-/** What the store said to a conditional write. */
+/** Result of a conditional write. */
 export type HoldingWritten =
   | { readonly kind: 'refused' }
   | {
@@ -21,26 +24,35 @@
       readonly storeMs: number;
     };
 
-/** Keeps who holds the duties; every call rejects when it fails. */
+/** Stores which instance holds the duties; every call rejects on failure. */
 export interface HoldingStore {
   readonly read: () => Promise<HoldingRead>;
-  /** Rejects where it isn't known whether the write is done. */
+  /**
+   * Writes the row conditionally; rejects if it is unknown whether the write
+   * took effect.
+   */
   readonly write: (write: HoldingWrite) => Promise<HoldingWritten>;
 }
 
-/** In whose name a duty is done. */
+/**
+ * Identity under which a duty is performed: the instance and its fencing token.
+ */
 export interface DutyCaller {
   readonly instance: InstanceId;
   readonly token: number;
 }
 
 /**
- * What the platform said to a call: `refused` for a higher token that it has seen, or
- * for replicas that are not to be had; `busy` for more calls than it takes.
+ * Result of a call to the platform: `refused` if it has seen a higher token or
+ * cannot provide the replicas, `busy` if it receives more calls than it
+ * accepts.
  */
 export type DutyAnswer = 'accepted' | 'busy' | 'refused';
 
-/** Calls that one instance makes for all; each rejects where no answer came. */
+/**
+ * Calls that one instance makes on behalf of all; each rejects if no response
+ * arrives.
+ */
 export interface DutyPlatform {
   readonly reportUsage: (
     caller: DutyCaller,
@@ -53,7 +65,9 @@
   readonly close: () => void;
 }
 
-/** How the duties of a deployment are done. */
+/**
+ * Store and platform through which the duties of a deployment are performed.
+ */
 export interface DutyPorts {
   readonly holding: HoldingStore;
   readonly platform: DutyPlatform;
--- a/packages/gateway/src/ports/PeerLink.ts
+++ b/packages/gateway/src/ports/PeerLink.ts
@@ -1,29 +1,34 @@
 import type { proto } from '@jujubecroft/operator/peers';
 
-/** Takes what other instances send. */
+/** Receives messages from other instances. */
 export interface PeerReceiver {
-  /** Told of a datagram and of the address that it came from. */
+  /** Called with each datagram and the address of its sender. */
   readonly onDatagram: (bytes: Uint8Array, from: string) => void;
-  /** Answers an instance with all that it lacks. */
+  /**
+   * Returns the state that the requesting instance lacks, given its own state.
+   */
   readonly onPull: (theirs: proto.GatewayState) => proto.GatewayState;
-  /** Told of a datagram that could not be sent; the address is empty if unknown. */
+  /**
+   * Called if a datagram could not be sent; the address is empty if it is
+   * unknown.
+   */
   readonly onSendFault: (to: string, err: Error) => void;
 }
 
-/** How the instances reach each other. */
+/** Transport between instances. */
 export interface PeerLink {
   /**
-   * Starts to receive.
+   * Starts receiving.
    *
-   * @throws Error when the address is taken
+   * @throws Error if the address is in use
    */
   readonly listen: (receiver: PeerReceiver) => Promise<void>;
-  /** Sends a datagram, which may get lost. */
+  /** Sends a datagram; it may be lost. */
   readonly send: (bytes: Uint8Array, to: string) => void;
   /**
-   * Asks another instance for all that this one lacks.
+   * Requests from another instance all state that this one lacks.
    *
-   * @throws Error when no whole answer came in time
+   * @throws Error if no complete response arrives in time
    */
   readonly pull: (
     address: string,
--- a/packages/gateway/src/ports/Timers.ts
+++ b/packages/gateway/src/ports/Timers.ts
@@ -1,19 +1,20 @@
-/** Ends what a timer would still do. */
+/** Cancels a timer. */
 export type CancelTimer = () => void;
 
-/** Passing time, as an instance that runs by a clock of its own sees it. */
+/** Timers of an instance; tests replace them to run by a virtual clock. */
 export interface Timers {
-  /** Does something once, after some milliseconds. */
+  /** Runs a function once after a delay. */
   readonly after: (ms: number, run: () => void) => CancelTimer;
-  /** Does something again and again, with so many milliseconds between. */
+  /** Runs a function repeatedly with a fixed interval. */
   readonly every: (ms: number, run: () => void) => CancelTimer;
-  /** Waits for some milliseconds. */
+  /** Waits for a number of milliseconds. */
   readonly sleep: (ms: number) => Promise<void>;
   /**
-   * Waits until the event loop has read what had arrived.
+   * Waits until the event loop has processed pending reads.
    *
-   * Timers come before reads in a turn of the loop. Whoever judges others by time
-   * waits for this first, or takes its own being held up for their silence.
+   * Timers fire before reads in a turn of the event loop. Code that decides
+   * that a peer is silent must wait for pending reads first; otherwise a delay
+   * of its own process looks like silence of the peer.
    */
   readonly nextTurn: () => Promise<void>;
 }
--- a/packages/gateway/src/runFromSettings.ts
+++ b/packages/gateway/src/runFromSettings.ts
@@ -1,41 +1,52 @@
 import type { EventLog } from '@jujubecroft/events';
 import { createBoundedLog } from '@jujubecroft/events';
 
-import type { HeldConnections } from './front/holdConnections.js';
+import type { HeldConnections } from './front/acceptEarlyConnections.js';
 import type { GatewaySettings } from './GatewaySettings.js';
 import type { GatewayPorts, RunningGateway } from './startGateway.js';
 import { startGateway } from './startGateway.js';
 import type { CheckedRead } from './util/readChecked.js';
 
-/** The settings file may change without a signal; it is looked at this often. */
-const RELOAD_EVERY_MS = 2000;
+/**
+ * Interval at which the settings file is checked for changes; it may change
+ * without a signal.
+ */
+const RELOAD_INTERVAL_MS = 2000;
 
-/** A gateway with the reaction to its signals. */
+/** A running gateway with its reactions to signals. */
 export interface GatewayProcess {
   readonly running: RunningGateway;
-  /** Reads the settings file again, as after a SIGHUP. */
+  /** Reads the settings file again, as after SIGHUP. */
   readonly reload: () => void;
   readonly stop: () => Promise<void>;
 }
 
-/** Makes the log of an instance. */
+/** Creates the log of an instance. */
 export type LogFactory = (settings: GatewaySettings) => EventLog;
 
-/** How a gateway is run beside what its settings file says. */
+/** Options of a gateway in addition to its settings file. */
 export interface RunOptions {
-  /** Where other instances reach this one; where it listens, if omitted. */
+  /**
+   * Address at which other instances reach this one; that of the settings if
+   * omitted.
+   */
   readonly peerAddress?: string | undefined;
-  /** Connections of callers that came while the program was loaded. */
+  /**
+   * Connections of callers that were accepted while the program was loading.
+   */
   readonly held?: HeldConnections | null;
-  /** Writes to standard output where omitted. */
+  /** Creates the log; writes to standard output if omitted. */
   readonly createLog?: LogFactory;
 }
 
-/** Where the settings of a process come from, and what follows from them. */
+/**
+ * Source of the settings of a process, and the ports that are created from
+ * them.
+ */
 export interface SettingsSource<
   Settings extends { readonly gateway: GatewaySettings },
 > {
-  /** Path of the file. */
+  /** Path of the settings file. */
   readonly file: string;
   readonly read: () => CheckedRead<Settings>;
   readonly createPorts: (settings: Settings, log: EventLog) => GatewayPorts;
@@ -66,12 +77,12 @@
 }
 
 /**
- * Starts a gateway, and puts changes of its settings in force.
+ * Starts a gateway and applies later changes of its settings file.
  *
- * @param source - of the settings
- * @param options - what the file doesn't say
+ * @param source - source of the settings
+ * @param options - options in addition to the settings file
  * @returns the running gateway
- * @throws Error that lists every fault of the settings
+ * @throws Error that lists all validation errors of the settings
  */
 export async function runFromSettings<
   Settings extends { readonly gateway: GatewaySettings },
@@ -88,9 +99,9 @@
   const reload = (): void => {
     try {
       const next = readOrThrow(source, peerAddress).gateway;
-      const text = JSON.stringify(next);
-      if (text !== inForce) {
-        inForce = text;
+      const serialized = JSON.stringify(next);
+      if (serialized !== inForce) {
+        inForce = serialized;
         running.context.settings = next;
         log.write('settingsReloaded', { settings: next });
       }
@@ -99,7 +110,7 @@
       log.write('settingsRefused', { error });
     }
   };
-  const timer = setInterval(reload, RELOAD_EVERY_MS);
+  const timer = setInterval(reload, RELOAD_INTERVAL_MS);
   return {
     running,
     reload,
--- a/packages/gateway/src/startGateway.ts
+++ b/packages/gateway/src/startGateway.ts
@@ -2,15 +2,15 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { EventLog } from '@jujubecroft/events';
 
-import { CrashWatch } from './backends/CrashWatch.js';
-import { LimitWatch } from './backends/LimitWatch.js';
-import { VerdictWatch } from './backends/VerdictWatch.js';
-import { createContext, HOUSEKEEPING_MS } from './createContext.js';
-import type { Front } from './front/createFront.js';
+import { BarredRequestLogger } from './backends/BarredRequestLogger.js';
+import { ReplicaLimitLogger } from './backends/ReplicaLimitLogger.js';
+import { AvoidanceLogger } from './backends/AvoidanceLogger.js';
+import { createContext, HOUSEKEEPING_INTERVAL_MS } from './createContext.js';
+import type { CallerServer } from './front/createCallerServer.js';
 import { DutyLoop } from './duties/DutyLoop.js';
-import { createFront } from './front/createFront.js';
-import type { HeldConnections } from './front/holdConnections.js';
-import { RequestsUnderWay } from './front/RequestsUnderWay.js';
+import { createCallerServer } from './front/createCallerServer.js';
+import type { HeldConnections } from './front/acceptEarlyConnections.js';
+import { InFlightRequests } from './front/InFlightRequests.js';
 import type { GatewayContext } from './GatewayContext.js';
 import { isReady } from './GatewayContext.js';
 import type { GatewaySettings, ListenAddress } from './GatewaySettings.js';
@@ -25,35 +25,47 @@
 import { RUNTIME_TIMERS } from './util/runtimeTimers.js';
 import { createWakeUpWatch } from './wakeUpWatch.js';
 
-/** How a deployment's surroundings are spoken to. */
+/** Ports through which an instance uses the systems around it. */
 export interface GatewayPorts {
   readonly dialect: CallerDialect;
   readonly store: DiscoveryStore;
-  /** Adds readiness and addresses, as callers expect them. */
+  /**
+   * Adds the routes for readiness and instance addresses in the format that
+   * callers expect.
+   */
   readonly sideRoutes: SideRoutes;
-  /** Absent where there are no duties that one instance does for all. */
+  /** Omitted if no duties are performed by one instance for all. */
   readonly duties?: DutyPorts | undefined;
 }
 
-/** An instance of the gateway that was started. */
+/** A started instance of the gateway. */
 export interface RunningGateway {
   readonly context: GatewayContext;
-  /** Takes no new callers, finishes what is under way, then stops. */
+  /**
+   * Stops gracefully: announces the stop, finishes requests in progress, then
+   * closes everything.
+   */
   readonly stop: () => Promise<void>;
-  /** Drops everything at once. */
+  /** Closes everything at once. */
   readonly kill: () => Promise<void>;
 }
 
-/** Part of the grace period in which callers learn to stay away. */
-const SPREAD_SHARE = 0.55;
-/** Part of the grace period after which callers should know of the stop. */
+/**
+ * Share of the grace period during which the instance keeps serving while
+ * callers learn to avoid it.
+ */
+const ANNOUNCE_SHARE = 0.55;
+/**
+ * Share of the grace period after which callers should know of the stop and
+ * requests are admitted more strictly.
+ */
 const STRICT_SHARE = 0.3;
-/** Part of the grace period after which what still runs is cut. */
-const LAST_SHARE = 0.95;
-const IDLE_CHECK_MS = 50;
+/** Share of the grace period after which unfinished requests are aborted. */
+const CUT_SHARE = 0.95;
+const IDLE_CHECK_INTERVAL_MS = 50;
 
-async function listenFront(
-  { app, server }: Front,
+async function listenForCallers(
+  { app, server }: CallerServer,
   { host, port }: ListenAddress,
   held: HeldConnections | null,
 ): Promise<void> {
@@ -62,10 +74,10 @@
     return;
   }
   await app.ready();
-  await held.handTo(server);
+  await held.handOver(server);
 }
 
-async function listenSide(
+async function startSideServers(
   context: GatewayContext,
   ports: GatewayPorts,
 ): Promise<readonly Server[]> {
@@ -84,12 +96,13 @@
 }
 
 /**
- * Meets other instances by the notes that they left in the store.
+ * Finds other instances through their entries in the store.
  *
- * An instance that starts again finds its own there, and writes none: two hundred
- * that come back from a loss of power would press a store that all of them need.
+ * An instance that restarts finds its own entry there and writes none.
+ * Otherwise, 200 instances that restart together after a power failure would
+ * overload the store when all of them need it.
  */
-async function meetThroughStore(
+async function joinThroughStore(
   context: GatewayContext,
   store: DiscoveryStore,
 ): Promise<void> {
@@ -112,7 +125,8 @@
       });
     }
   } catch (err) {
-    // Seeds and heartbeats bring the instances together without the store.
+    // Without the store, instances still find each other through seeds and
+    // heartbeats.
     const error = err instanceof Error ? err.message : String(err);
     log.write('platformDown', {
       call: 'instances',
@@ -123,12 +137,13 @@
 }
 
 /**
- * Starts an instance of the gateway; it takes callers once it knows what for.
+ * Starts an instance of the gateway; it is ready once configuration and
+ * replicas are known.
  *
- * @param settings - checked settings
- * @param ports - how the surroundings are spoken to
- * @param log - where events go
- * @param held - connections of callers that wait for it; null for none
+ * @param settings - validated settings
+ * @param ports - ports to the systems around the instance
+ * @param log - receives the events
+ * @param held - connections of callers that were accepted early; null for none
  * @returns the running instance
  */
 export async function startGateway(
@@ -145,34 +160,37 @@
     timers: RUNTIME_TIMERS,
     startedMs: Date.now(),
   });
-  const underWay = new RequestsUnderWay(context);
-  const front = createFront(context, underWay);
+  const inFlight = new InFlightRequests(context);
+  const callerServer = createCallerServer(context, inFlight);
   const { view, reader, peers } = createSync(
     context,
     { store: ports.store, link: createPeerLink(settings.peers) },
-    front.limit,
+    callerServer.limit,
   );
   const { duties: dutyBoard } = context.router.board;
   const duties =
     dutyBoard && ports.duties
       ? new DutyLoop(context, dutyBoard, ports.duties, peers)
       : null;
-  const verdicts = new VerdictWatch(context.router.board, log);
-  const crashes = new CrashWatch(context.router.board, log);
-  const limits = new LimitWatch(context.router.board, log);
-  const stoodStillMs = createWakeUpWatch(clock);
+  const avoidanceLogger = new AvoidanceLogger(context.router.board, log);
+  const barredRequestLogger = new BarredRequestLogger(
+    context.router.board,
+    log,
+  );
+  const limitLogger = new ReplicaLimitLogger(context.router.board, log);
+  const takeSuspendedMs = createWakeUpWatch(clock);
   let wasReady = false;
 
-  const keepHouse = (): void => {
+  const runHousekeeping = (): void => {
     const { replicas } = context.router.board;
     context.delays.note();
     view.onReplicas(replicas.tick(), 'lapse');
-    verdicts.look();
-    crashes.look();
-    limits.look();
-    const stillMs = stoodStillMs();
-    if (stillMs > 0) {
-      log.write('wokeUp', { stoodStillMs: Math.round(stillMs) });
+    avoidanceLogger.logChanges();
+    barredRequestLogger.logChanges();
+    limitLogger.logChanges();
+    const suspendedMs = takeSuspendedMs();
+    if (suspendedMs > 0) {
+      log.write('wokeUp', { stoodStillMs: Math.round(suspendedMs) });
       context.router.board.storeClock.forget();
       void reader.refresh();
       peers.askAround();
@@ -186,14 +204,15 @@
     }
   };
 
-  // Asked for first, configuration and replicas are there when the rest is up.
+  // Configuration and replicas are requested first, so that they arrive while
+  // the servers start.
   reader.start();
-  await listenFront(front, settings.callers, held);
+  await listenForCallers(callerServer, settings.callers, held);
   await peers.start();
-  const sides = await listenSide(context, ports);
-  void meetThroughStore(context, ports.store);
+  const sideServers = await startSideServers(context, ports);
+  void joinThroughStore(context, ports.store);
   duties?.start();
-  const housekeeping = setInterval(keepHouse, HOUSEKEEPING_MS);
+  const housekeeping = setInterval(runHousekeeping, HOUSEKEEPING_INTERVAL_MS);
   log.write('instanceStarted', { settings });
 
   const close = async (): Promise<void> => {
@@ -201,32 +220,32 @@
     duties?.stop();
     reader.stop();
     await peers.stop();
-    underWay.stop();
-    sides.forEach(side => {
-      side.close();
-      side.closeAllConnections();
+    inFlight.stop();
+    sideServers.forEach(sideServer => {
+      sideServer.close();
+      sideServer.closeAllConnections();
     });
-    front.server.closeAllConnections();
-    await front.app.close();
+    callerServer.server.closeAllConnections();
+    await callerServer.app.close();
     context.connections.destroy();
     ports.store.close();
   };
 
   const stop = async (): Promise<void> => {
-    const lastMs = clock() + LAST_SHARE * settings.graceMs;
+    const cutMs = clock() + CUT_SHARE * settings.graceMs;
     const strictFromMs = clock() + STRICT_SHARE * settings.graceMs;
     context.leaving = true;
-    context.stopPlan = { strictFromMs, untilMs: lastMs };
+    context.stopPlan = { strictFromMs, untilMs: cutMs };
     context.membership.leave();
-    log.write('instanceStopping', { inFlight: underWay.count });
+    log.write('instanceStopping', { inFlight: inFlight.count });
     peers.spread();
-    // Callers keep addresses for a while, and go on using open connections
-    // until an answer closes them.
-    await sleep(SPREAD_SHARE * settings.graceMs);
-    while (underWay.count > 0 && clock() < lastMs) {
-      await sleep(IDLE_CHECK_MS);
+    // Callers cache addresses for a while and keep using open connections until
+    // a response closes them.
+    await sleep(ANNOUNCE_SHARE * settings.graceMs);
+    while (inFlight.count > 0 && clock() < cutMs) {
+      await sleep(IDLE_CHECK_INTERVAL_MS);
     }
-    log.write('instanceStopped', { cut: underWay.count });
+    log.write('instanceStopped', { cut: inFlight.count });
     await close();
   };
 
--- a/packages/gateway/src/util/headerNumbers.ts
+++ b/packages/gateway/src/util/headerNumbers.ts
@@ -1,7 +1,14 @@
-/** More requests than this at one replica are no count but damaged bytes. */
-const MAX_COUNT = 1_000_000;
+/**
+ * Upper limit for numbers of requests; a larger value indicates corrupted data.
+ */
+const MAX_REQUESTS = 1_000_000;
 
-/** @returns the number that a text is; null where it is none */
+/**
+ * Parses a finite number.
+ *
+ * @param text - value of a header
+ * @returns the number; null if the text is missing or not a finite number
+ */
 export function toNumber(text: string | undefined): number | null {
   const value = Number(text);
   return text === undefined || text.trim() === '' || !Number.isFinite(value)
@@ -9,19 +16,26 @@
     : value;
 }
 
-/** @returns a number of requests, or of requests a second; null for what is none */
+/**
+ * Parses a number of requests, or of requests per second.
+ *
+ * @param text - value of a header
+ * @returns the number; null if the text is not a number or out of range
+ */
 export function toAmount(text: string | undefined): number | null {
   const value = toNumber(text);
-  return value !== null && value >= 0 && value <= MAX_COUNT ? value : null;
+  return value !== null && value >= 0 && value <= MAX_REQUESTS ? value : null;
 }
 
 /**
- * Reads a whole number of requests.
+ * Parses an integer number of requests.
  *
- * Guards against replicas that hand out wrong bytes: what is no count is left out
- * here, or it would be handed on to peers in messages that can't hold it.
+ * Corrupted values from a replica are discarded here, since they would
+ * otherwise be passed on to other instances in messages whose fields cannot
+ * hold them.
  *
- * @returns null for what is no count
+ * @param text - value of a header
+ * @returns the number; null if the text is not an integer or out of range
  */
 export function toCount(text: string | undefined): number | null {
   const value = toAmount(text);
--- a/packages/gateway/src/util/headers.ts
+++ b/packages/gateway/src/util/headers.ts
@@ -1,9 +1,9 @@
 import type { RawHeaders } from '../ports/CallerDialect.js';
 
-/** A header as it stood on the wire. */
+/** Name and value of a header as received. */
 export type HeaderPair = readonly [name: string, value: string];
 
-/** Headers that concern one connection only. */
+/** Hop-by-hop headers, which apply to a single connection. */
 const CONNECTION_HEADERS: readonly string[] = [
   'connection',
   'keep-alive',
@@ -16,22 +16,29 @@
   'upgrade',
 ];
 
-function pairsOf(raw: RawHeaders): readonly HeaderPair[] {
+function toPairs(raw: RawHeaders): readonly HeaderPair[] {
   return Array.from({ length: raw.length / 2 }, (_, index) => [
     raw[2 * index] ?? '',
     raw[2 * index + 1] ?? '',
   ]);
 }
 
-/** @returns headers by their name in lower case; the last of equal ones */
+/**
+ * Indexes headers by name.
+ *
+ * @param raw - headers as received
+ * @returns values by lower-case name; the last one if a name is repeated
+ */
 export function headerMap(raw: RawHeaders): ReadonlyMap<string, string> {
   return new Map(
-    pairsOf(raw).map(([name, value]) => [name.toLowerCase(), value]),
+    toPairs(raw).map(([name, value]) => [name.toLowerCase(), value]),
   );
 }
 
-/** Names that the sender itself bound to the connection. */
-function connectionBound(pairs: readonly HeaderPair[]): readonly string[] {
+/** Names that the sender lists in its `connection` headers. */
+function namesInConnectionHeader(
+  pairs: readonly HeaderPair[],
+): readonly string[] {
   return pairs
     .filter(([name]) => name.toLowerCase() === 'connection')
     .flatMap(([, value]) => value.split(','))
@@ -39,21 +46,22 @@
 }
 
 /**
- * Leaves out headers that are not passed on.
+ * Removes headers that must not be forwarded.
  *
- * @param raw - headers as they stood on the wire
- * @param names - to leave out beside those that concern one connection only
- * @returns the others, in order
+ * @param raw - headers as received
+ * @param names - lower-case names to remove in addition to the hop-by-hop
+ *   headers
+ * @returns the other headers, in order
  */
 export function headersWithout(
   raw: RawHeaders,
   names: readonly string[],
 ): readonly HeaderPair[] {
-  const pairs = pairsOf(raw);
+  const pairs = toPairs(raw);
   const dropped = new Set([
     ...CONNECTION_HEADERS,
     ...names,
-    ...connectionBound(pairs),
+    ...namesInConnectionHeader(pairs),
   ]);
   return pairs.filter(([name]) => !dropped.has(name.toLowerCase()));
 }
--- a/packages/gateway/src/util/once.ts
+++ b/packages/gateway/src/util/once.ts
@@ -1,10 +1,10 @@
 /**
- * Keeps the result of the first call.
+ * Wraps a function so that it runs at most once.
  *
- * @param work - whose result never changes
- * @returns a function that does the work at most once
+ * @param work - function whose result never changes
+ * @returns a function that returns the result of the first call
  */
 export function once<Result extends string>(work: () => Result): () => Result {
-  let known: Result | null = null;
-  return () => (known ??= work());
+  let result: Result | null = null;
+  return () => (result ??= work());
 }
--- a/packages/gateway/src/util/parseAddress.ts
+++ b/packages/gateway/src/util/parseAddress.ts
@@ -1,9 +1,14 @@
 import type { ListenAddress } from '../GatewaySettings.js';
 
-/** An IP address and a port. */
+/** Pattern of an IPv4 address and a port. */
 export const ADDRESS = /^([\d.]+):(\d+)$/;
 
-/** @returns host and port of an address; null for what is none */
+/**
+ * Parses an address.
+ *
+ * @param text - address in the form `host:port`
+ * @returns host and port; null if the text is not an address
+ */
 export function parseAddress(text: string): ListenAddress | null {
   const [, host, port] = ADDRESS.exec(text) ?? [];
   return host === undefined ? null : { host, port: Number(port) };
--- a/packages/gateway/src/util/readChecked.ts
+++ b/packages/gateway/src/util/readChecked.ts
@@ -1,24 +1,24 @@
 import type * as z from 'zod';
 
-/** One fault of a document. */
-export interface DocumentFault {
-  /** Dotted path; empty for the document itself. */
+/** A validation error of a document. */
+export interface ValidationIssue {
+  /** Dotted path of the field; empty for the document itself. */
   readonly path: string;
   readonly message: string;
 }
 
-/** What a document says, or every fault that it has. */
+/** Settings of a valid document, or all validation errors of an invalid one. */
 export type CheckedRead<Settings> =
   | { readonly ok: true; readonly settings: Settings }
-  | { readonly ok: false; readonly faults: readonly DocumentFault[] };
+  | { readonly ok: false; readonly faults: readonly ValidationIssue[] };
 
 /**
- * Reads a document of JSON and checks it.
+ * Parses and validates a JSON document.
  *
  * @param text - the document
- * @param schema - that it has to keep
- * @param toSettings - makes of it what is used
- * @returns the settings, or every fault
+ * @param schema - schema that the document must match
+ * @param toSettings - converts the validated document
+ * @returns the settings, or all validation errors
  */
 export function readChecked<Schema extends z.ZodType, Settings>(
   text: string,
--- a/packages/gateway/src/util/rowContent.ts
+++ b/packages/gateway/src/util/rowContent.ts
@@ -1,11 +1,11 @@
 /**
- * Decodes what a row of a store holds.
+ * Decodes the content of a store row.
  *
- * Guards against one row that is no JSON: thrown on, it would fail the read of all
- * others, again at every try. It is handed on as text, which no decoder takes for
- * an entry.
+ * An invalid row is returned as text, which decoders reject. An exception would
+ * fail the read of all other rows, at every retry.
  *
- * @param value - base64 of JSON
+ * @param value - base64-encoded JSON
+ * @returns the decoded JSON, or the text if it is not valid JSON
  */
 export function parseRowContent(value: string): unknown {
   const text = Buffer.from(value, 'base64').toString('utf8');
@@ -16,7 +16,12 @@
   }
 }
 
-/** @returns the content of a row as a store keeps it */
+/**
+ * Encodes the content of a store row.
+ *
+ * @param content - value that JSON can represent
+ * @returns base64-encoded JSON
+ */
 export function formatRowContent(content: unknown): string {
   return Buffer.from(JSON.stringify(content)).toString('base64');
 }
--- a/packages/gateway/src/util/runtimeTimers.ts
+++ b/packages/gateway/src/util/runtimeTimers.ts
@@ -3,7 +3,7 @@
 import type { Timers } from '../ports/Timers.js';
 import { nextTurn } from './nextTurn.js';
 
-/** The runtime's own timers. */
+/** Timers of the Node.js runtime. */
 export const RUNTIME_TIMERS: Timers = {
   after: (ms, run) => {
     const timer = setTimeout(run, ms);
--- a/packages/gateway/src/wakeUpWatch.ts
+++ b/packages/gateway/src/wakeUpWatch.ts
@@ -1,19 +1,24 @@
-/** Difference of the clocks above which the process seems to have stood still. */
-const STOOD_STILL_MS = 700;
+/**
+ * Growth of the offset between the clocks above which the process counts as
+ * suspended.
+ */
+const SUSPENSION_THRESHOLD_MS = 700;
 
 /**
- * Watches for times in which the whole machine stood still.
+ * Detects periods in which the whole machine was suspended.
  *
- * A frozen machine wakes with an old view and takes it for a fresh one, since
- * the steady clock doesn't count the time. The time of day does, so the two
- * clocks move apart. The time of day may also be set by hand; a step forward
- * looks the same and costs one needless read, nothing else depends on it. The
- * time since boot would not step, but the runtime takes it from a file of the
- * host, which runs on where a machine is simulated or throttled.
+ * A machine that was frozen resumes with an outdated view of the replicas and
+ * considers it current, since the monotonic clock does not count the
+ * suspension. The time of day does, so the offset between the clocks grows.
+ * Setting the time of day forward has the same effect; it causes one needless
+ * read and nothing else. The time since boot cannot be set, but Node.js reads
+ * it from a file of the host, which keeps counting where a machine is simulated
+ * or throttled.
  *
- * @param clock - steady clock in milliseconds
- * @param timeOfDay - clock that counts such times, in milliseconds
- * @returns a function that tells the time stood still since its last call, or 0
+ * @param clock - monotonic clock, in milliseconds
+ * @param timeOfDay - clock that also counts suspensions, in milliseconds
+ * @returns a function that returns the time suspended since its previous call,
+ *   in milliseconds, or 0
  */
 export function createWakeUpWatch(
   clock: () => number,
@@ -22,8 +27,8 @@
   let offsetMs = timeOfDay() - clock();
   return () => {
     const newOffsetMs = timeOfDay() - clock();
-    const stoodStillMs = newOffsetMs - offsetMs;
+    const suspendedMs = newOffsetMs - offsetMs;
     offsetMs = newOffsetMs;
-    return stoodStillMs > STOOD_STILL_MS ? stoodStillMs : 0;
+    return suspendedMs > SUSPENSION_THRESHOLD_MS ? suspendedMs : 0;
   };
 }
--- a/packages/gateway/tests/backends/VerdictWatch.test.ts
+++ b/packages/gateway/tests/backends/AvoidanceLogger.test.ts
@@ -13,10 +13,10 @@
 } from '@jujubecroft/types';
 import { brand } from '@jujubecroft/types';
 
-import { VerdictWatch } from '../../src/backends/VerdictWatch.js';
+import { AvoidanceLogger } from '../../src/backends/AvoidanceLogger.js';
 
-describe('VerdictWatch', ({ it }) => {
-  it('tells once when a backend server is avoided, and once when it is trusted again', t => {
+describe('AvoidanceLogger', ({ it }) => {
+  it('logs once when a backend server becomes avoided and once when it is used again', t => {
     let nowMs = 0;
     const board = createGatewayBoard({
       clock: () => nowMs,
@@ -41,24 +41,24 @@
       0,
     );
     new GatewayRouter(board, defaultGatewayPolicies(board)).syncReplicas();
-    const told: unknown[] = [];
-    const watch = new VerdictWatch(board, {
+    const verdicts: unknown[] = [];
+    const logger = new AvoidanceLogger(board, {
       write: (_id, fields) => {
-        told.push(fields.verdict);
+        verdicts.push(fields.verdict);
       },
     });
     const health = board.backends.get(replica.id)?.health;
-    watch.look();
+    logger.logChanges();
     [1, 2, 3].forEach(() => health?.onFailure(0));
-    watch.look();
-    watch.look();
+    logger.logChanges();
+    logger.logChanges();
     nowMs = 900;
     [1, 2, 3].forEach(() => {
       health?.onSent();
       health?.onSuccess();
-      watch.look();
+      logger.logChanges();
     });
-    watch.look();
-    t.deepEqual(told, ['avoid', 'good']);
+    logger.logChanges();
+    t.deepEqual(verdicts, ['avoid', 'good']);
   });
 });
--- a/packages/gateway/tests/backends/BackendConnections.test.ts
+++ b/packages/gateway/tests/backends/BackendConnections.test.ts
@@ -22,19 +22,19 @@
 describe('BackendConnections', ({ it }) => {
   it('keeps one pool for each run of a replica', t => {
     const connections = new BackendConnections();
-    const pool = connections.of(REPLICA, 2);
-    t.is(connections.of(REPLICA, 2), pool);
-    t.not(connections.of({ ...REPLICA, bornMs: 2 }, 2), pool);
+    const pool = connections.poolFor(REPLICA, 2);
+    t.is(connections.poolFor(REPLICA, 2), pool);
+    t.not(connections.poolFor({ ...REPLICA, bornMs: 2 }, 2), pool);
   });
 
-  // Two hundred instances start at once, so that each may open few connections to a
-  // replica; then most of them fail. Requests that the share allowed by now waited for
-  // a connection that the first share did not.
-  it('follows the share of connections', t => {
+  // Guards against requests that wait for connections they may open: when 200
+  // instances start, the share of each is small, and it grows when most of them
+  // fail. A pool with its first limit would never use the larger share.
+  it('applies a changed connection limit to an existing pool', t => {
     const connections = new BackendConnections();
-    const { agent } = connections.of(REPLICA, 2);
+    const { agent } = connections.poolFor(REPLICA, 2);
     t.is(agent.maxSockets, 2);
-    connections.of(REPLICA, 7);
+    connections.poolFor(REPLICA, 7);
     t.is(agent.maxSockets, 7);
   });
 });
--- a/packages/gateway/tests/backends/JsonClient.test.ts
+++ b/packages/gateway/tests/backends/JsonClient.test.ts
@@ -6,8 +6,8 @@
 
 const HOST = '127.0.0.1';
 
-/** Runs a body against a server that answers with one status and text. */
-async function withAnswer(
+/** Runs a test against a server that always sends the same status and text. */
+async function withResponse(
   status: number,
   text: string,
   body: (client: JsonClient) => Promise<void>,
@@ -31,20 +31,21 @@
 }
 
 describe('JsonClient', ({ it }) => {
-  // Guards against a refusal that counts as no answer since its body is a page.
-  it('tells the status of an answer that is no JSON', async t => {
-    await withAnswer(409, '<html>conflict</html>', async client => {
+  // Guards against a refusal that counts as a missing response because its body
+  // is an HTML page.
+  it('returns the status of a response whose body is not JSON', async t => {
+    await withResponse(409, '<html>conflict</html>', async client => {
       const reply = await client.call({ path: '/x', content: {} });
       t.is(reply.status, 409);
       t.throws(() => reply.json());
     });
   });
 
-  it('reads a body, or that there is none', async t => {
-    await withAnswer(200, '{"a":1}', async client => {
+  it('parses a JSON body and returns null for an empty one', async t => {
+    await withResponse(200, '{"a":1}', async client => {
       t.deepEqual((await client.call({ path: '/x' })).json(), { a: 1 });
     });
-    await withAnswer(200, '', async client => {
+    await withResponse(200, '', async client => {
       t.is((await client.call({ path: '/x' })).json(), null);
     });
   });
--- a/packages/gateway/tests/backends/KeepAliveAgent.test.ts
+++ b/packages/gateway/tests/backends/KeepAliveAgent.test.ts
@@ -12,17 +12,17 @@
 const LIMITS = { maxConnections: 4, connectTimeoutMs: 400 };
 const SETTLED_MS = 40;
 
-interface Setting {
+interface Fixture {
   readonly server: Server;
   readonly agent: KeepAliveAgent;
-  /** Connections that the server took, oldest first. */
+  /** Connections that the server accepted, oldest first. */
   readonly sockets: readonly Socket[];
   readonly ask: () => Promise<string>;
 }
 
 async function withServer(
   answer: (req: IncomingMessage, res: ServerResponse) => void,
-  body: (setting: Setting) => Promise<void>,
+  body: (fixture: Fixture) => Promise<void>,
 ): Promise<void> {
   const sockets: Socket[] = [];
   const server = createServer({ keepAliveTimeout: 0 }, answer);
@@ -37,7 +37,7 @@
       'response',
     )) as [IncomingMessage];
     const body = await text(res);
-    // The connection is handed back after the answer.
+    // The agent gets the connection back shortly after the response.
     await sleep(SETTLED_MS);
     return body;
   };
@@ -55,34 +55,38 @@
 };
 
 describe('KeepAliveAgent', ({ it, itAlone }) => {
-  // A connection opens within a millisecond, and the instance has no processor for
-  // half a second. Its timer ran before it learnt of that: requests failed as "no
-  // connection within 400 ms" at replicas and at a store that were there.
-  itAlone('takes a connection that opened while it was held up', async t => {
-    await withServer(plain, async ({ ask }) => {
-      const asked = ask();
-      const untilMs = performance.now() + LIMITS.connectTimeoutMs + 100;
-      while (performance.now() < untilMs) {
-        // Keeps the process from reading.
-      }
-      t.is(await asked, 'whole');
-    });
-  });
+  // Guards against false timeouts: the connection opens within a millisecond,
+  // but the event loop is blocked for half a second and the timer fires before
+  // the event is processed.
+  itAlone(
+    'uses a connection that opened while the event loop was blocked',
+    async t => {
+      await withServer(plain, async ({ ask }) => {
+        const pending = ask();
+        const untilMs = performance.now() + LIMITS.connectTimeoutMs + 100;
+        while (performance.now() < untilMs) {
+          // Blocks the event loop.
+        }
+        t.is(await pending, 'whole');
+      });
+    },
+  );
 
-  it('uses a connection again, without leaving listeners on it', async t => {
+  it('reuses a connection without accumulating listeners on it', async t => {
     await withServer(plain, async ({ agent, sockets, ask }) => {
       for (let index = 0; index < 15; index += 1) {
         t.is(await ask(), 'whole');
       }
       t.is(sockets.length, 1);
-      const [kept] = Object.values(agent.freeSockets).flat();
-      t.true((kept?.listenerCount('error') ?? 0) < 5);
+      const [keptSocket] = Object.values(agent.freeSockets).flat();
+      t.true((keptSocket?.listenerCount('error') ?? 0) < 5);
     });
   });
 
-  // A replica hands out an answer a second time, or another's, when the first was
-  // read already. Kept, the connection would give it to the next request.
-  it('drops a connection with bytes out of turn', async t => {
+  // Guards against responses to the wrong request: a replica may send a second
+  // response after the first was read, and the next request on the connection
+  // would receive it.
+  it('closes an idle connection that receives unexpected data', async t => {
     await withServer(plain, async ({ sockets, ask }) => {
       await ask();
       sockets[0]?.write('HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nx');
@@ -92,9 +96,10 @@
     });
   });
 
-  // A replica closes idle connections. A request that is written just then may
-  // have run for all anybody knows, and can't be sent again if it must run once.
-  it('gives a connection up before its server does', async t => {
+  // Guards against requests of unknown outcome: a request that is written just
+  // when the replica closes its idle connection may have been executed, and
+  // cannot be repeated unless it is idempotent.
+  it('closes an idle connection before the timeout that its server states', async t => {
     await withServer(
       (_req, res) => {
         res.setHeader('Keep-Alive', 'timeout=1');
@@ -108,7 +113,7 @@
     );
   });
 
-  it('keeps no connection once it is closed', async t => {
+  it('keeps no idle connection after close', async t => {
     await withServer(plain, async ({ agent, sockets, ask }) => {
       await ask();
       agent.close();
--- a/packages/gateway/tests/backends/sendAttempt.test.ts
+++ b/packages/gateway/tests/backends/sendAttempt.test.ts
@@ -13,7 +13,9 @@
 const SETTLED_MS = 40;
 
 interface Fixture {
-  /** Answers of requests that reached the server, which it holds back. */
+  /**
+   * Responses to the requests that reached the server; the tests complete them.
+   */
   readonly held: ServerResponse[];
   readonly send: (mayGo: () => boolean) => RunningExchange;
 }
@@ -35,7 +37,7 @@
     sendAttempt(
       pool,
       { method: 'GET', target: '/', headers: ['Host', HOST], body: null },
-      { mayGo, onStart: () => true, onData: () => true },
+      { maySend: mayGo, onStart: () => true, onData: () => true },
     );
   try {
     await body({ held, send });
@@ -47,9 +49,9 @@
 }
 
 describe('sendAttempt', ({ it }) => {
-  // A request was placed, and waited for a connection. Meanwhile its replica said that
-  // it leaves; the request went there all the same, whenever a connection was free.
-  it('does not send what may no longer go when its connection is there', async t => {
+  // Guards against requests to a replica that is stopping: the replica
+  // announced its stop while the request waited for a connection.
+  it('does not send a request that is no longer permitted when a connection becomes free', async t => {
     await withServer(async ({ held, send }) => {
       const first = send(() => true);
       await sleep(SETTLED_MS);
@@ -59,14 +61,14 @@
       t.deepEqual(await second.ended, {
         kind: 'failed',
         sent: false,
-        reason: 'no longer to be sent there',
+        reason: 'replica may no longer receive the request',
       });
       await sleep(SETTLED_MS);
       t.is(held.length, 1);
     });
   });
 
-  it('does not send it on a connection that has just opened', async t => {
+  it('does not send a request that is not permitted on a newly opened connection', async t => {
     await withServer(async ({ held, send }) => {
       const { kind } = await send(() => false).ended;
       t.is(kind, 'failed');
--- a/packages/gateway/tests/startGateway.test.ts
+++ b/packages/gateway/tests/startGateway.test.ts
@@ -36,12 +36,15 @@
 
 const readNow = () => ({ version: 1, storeMs: performance.now() });
 
-/** Counts the notes that an instance leaves where these are listed. */
-async function notesWith(
+/**
+ * Starts an instance and counts the entries that it writes to a store with the
+ * given ones.
+ */
+async function countAnnouncements(
   port: number,
   listed: readonly ListedMember[],
 ): Promise<number> {
-  let notes = 0;
+  let announcements = 0;
   const store: DiscoveryStore = {
     readConfiguration: () =>
       Promise.resolve({ configuration: null, ...readNow() }),
@@ -52,7 +55,7 @@
     readReplicas: () => Promise.resolve({ rows: [], ...readNow() }),
     changedReplicas: () => Promise.resolve({ rows: [], ...readNow() }),
     announce: () => {
-      notes += 1;
+      announcements += 1;
       return Promise.resolve();
     },
     listInstances: () => Promise.resolve(listed),
@@ -65,10 +68,10 @@
   );
   await sleep(SETTLED_MS);
   await running.kill();
-  return notes;
+  return announcements;
 }
 
-const note = (peerAddress: string): ListedMember => ({
+const listedMember = (peerAddress: string): ListedMember => ({
   id: INSTANCE,
   failureDomain: DOMAIN,
   callerAddress: '',
@@ -77,17 +80,29 @@
 });
 
 describe('startGateway', ({ itAlone }) => {
-  // Two hundred instances come back from a loss of power at once. Each wrote a note
-  // that stood in the store already, before it could serve a caller.
-  itAlone('leaves no note where its own stands', async t => {
-    t.is(await notesWith(BASE_PORT, [note(`${HOST}:${BASE_PORT + 1}`)]), 0);
-  });
+  // Guards against load on the store when 200 instances restart together after
+  // a power failure: each wrote an entry that was already there before it could
+  // serve a caller.
+  itAlone(
+    'does not announce an instance whose entry is in the store',
+    async t => {
+      t.is(
+        await countAnnouncements(BASE_PORT, [
+          listedMember(`${HOST}:${BASE_PORT + 1}`),
+        ]),
+        0,
+      );
+    },
+  );
 
   itAlone(
-    'leaves a note where there is none, or one of another address',
+    'announces an instance without an entry, or with an entry of another address',
     async t => {
-      t.is(await notesWith(BASE_PORT + 3, []), 1);
-      t.is(await notesWith(BASE_PORT + 6, [note('10.0.0.9:1')]), 1);
+      t.is(await countAnnouncements(BASE_PORT + 3, []), 1);
+      t.is(
+        await countAnnouncements(BASE_PORT + 6, [listedMember('10.0.0.9:1')]),
+        1,
+      );
     },
   );
 });
--- a/packages/gateway/tests/wakeUpWatch.test.ts
+++ b/packages/gateway/tests/wakeUpWatch.test.ts
@@ -3,49 +3,51 @@
 import { createWakeUpWatch } from '../src/wakeUpWatch.js';
 
 describe('createWakeUpWatch', ({ it }) => {
-  it('tells how long the machine stood still, once', t => {
-    // A frozen machine wakes and sends requests to replicas that left meanwhile:
-    // its steady clock stood still too, so its old view looks fresh.
+  it('reports the duration of a suspension once', t => {
+    // Guards against requests to replicas that have left: the monotonic clock
+    // of a frozen machine stops too, so its outdated view looks current after
+    // it resumes.
     let steadyMs = 0;
     let dayMs = 100_000;
-    const stoodStillMs = createWakeUpWatch(
+    const takeSuspendedMs = createWakeUpWatch(
       () => steadyMs,
       () => dayMs,
     );
     steadyMs += 100;
     dayMs += 100;
-    t.is(stoodStillMs(), 0);
+    t.is(takeSuspendedMs(), 0);
     steadyMs += 100;
     dayMs += 4100;
-    t.is(Math.round(stoodStillMs()), 4000);
+    t.is(Math.round(takeSuspendedMs()), 4000);
     steadyMs += 100;
     dayMs += 100;
-    t.is(stoodStillMs(), 0);
+    t.is(takeSuspendedMs(), 0);
   });
 
-  it('is not troubled by a time of day that is set back', t => {
+  it('ignores a time of day that is set back', t => {
     let dayMs = 100_000;
-    const stoodStillMs = createWakeUpWatch(
+    const takeSuspendedMs = createWakeUpWatch(
       () => 0,
       () => dayMs,
     );
     dayMs -= 5000;
-    t.is(stoodStillMs(), 0);
-    t.is(stoodStillMs(), 0);
+    t.is(takeSuspendedMs(), 0);
+    t.is(takeSuspendedMs(), 0);
   });
 
-  it('goes by the clocks of its own process alone', t => {
-    // A fleet on throttled machines reads the store ten times a second and calls
-    // its peers each time: a host file's seconds run on while its own do not.
+  it('reports no suspension while both clocks of the process advance equally', t => {
+    // Guards against needless reads of the store and calls to peers: on
+    // throttled machines, a clock read from a file of the host keeps counting
+    // while the clocks of the process do not.
     let steadyMs = 0;
-    const stoodStillMs = createWakeUpWatch(
+    const takeSuspendedMs = createWakeUpWatch(
       () => steadyMs,
       () => 100_000 + steadyMs,
     );
-    const stops = Array.from({ length: 50 }, () => {
+    const suspensions = Array.from({ length: 50 }, () => {
       steadyMs += 10;
-      return stoodStillMs();
+      return takeSuspendedMs();
     });
-    t.deepEqual([...new Set(stops)], [0]);
+    t.deepEqual([...new Set(suspensions)], [0]);
   });
 });
