--- a/packages/gateway/src/GatewayContext.ts
+++ b/packages/gateway/src/GatewayContext.ts
@@ -31,8 +31,8 @@
   /** Whether the instance was asked to stop. */
   leaving: boolean;
   /**
-   * Limits for requests that are still accepted before the stop; null while no
-   * stop is planned.
+   * Times by which requests are admitted and must end before the stop; null
+   * while no stop is requested.
    */
   stopPlan: StopPlan | null;
 }
@@ -41,8 +41,8 @@
  * Whether an instance can serve callers.
  *
  * @param context - shared parts of the instance
- * @returns true once configuration and backend servers are known, until the
- *   instance stops
+ * @returns true once configuration and backend servers are known, until a stop
+ *   is requested
  */
 export function isReady(context: GatewayContext): boolean {
   const { board } = context.router;
--- a/packages/gateway/src/forward/ForwardedRequest.ts
+++ b/packages/gateway/src/forward/ForwardedRequest.ts
@@ -64,7 +64,7 @@
   #exchange: RunningExchange | null = null;
   #attempt: GatewayAttempt | null = null;
   #withdrawReason: WithdrawReason | null = null;
-  /** Attempts of which at least one byte may have left this instance. */
+  /** Attempts of which some bytes may have left this instance. */
   #sent = 0;
   /** Attempts that failed before anything was sent. */
   #unsent = 0;
--- a/packages/gateway/src/forward/RequestRecorder.ts
+++ b/packages/gateway/src/forward/RequestRecorder.ts
@@ -19,7 +19,7 @@
 
 /** Progress of a request over all its attempts. */
 export interface RequestProgress {
-  /** Attempts of which at least one byte may have left this instance. */
+  /** Attempts of which some bytes may have left this instance. */
   readonly sent: number;
   /** Attempts that failed before anything was sent. */
   readonly unsent: number;
--- a/packages/gateway/tests/backends/sendAttempt.test.ts
+++ b/packages/gateway/tests/backends/sendAttempt.test.ts
@@ -17,7 +17,7 @@
    * Responses to the requests that reached the server; the tests complete them.
    */
   readonly held: ServerResponse[];
-  readonly send: (mayGo: () => boolean) => RunningExchange;
+  readonly send: (maySend: () => boolean) => RunningExchange;
 }
 
 async function withServer(
@@ -33,11 +33,11 @@
     connectTimeoutMs: 400,
   });
   const pool: BackendPool = { host: HOST, port, agent };
-  const send = (mayGo: () => boolean): RunningExchange =>
+  const send = (maySend: () => boolean): RunningExchange =>
     sendAttempt(
       pool,
       { method: 'GET', target: '/', headers: ['Host', HOST], body: null },
-      { maySend: mayGo, onStart: () => true, onData: () => true },
+      { maySend, onStart: () => true, onData: () => true },
     );
   try {
     await body({ held, send });
