--- a/packages/decisions/src/Router.ts
+++ b/packages/decisions/src/Router.ts
@@ -45,7 +45,7 @@
   readonly serverBudget: number;
 }
 
-const EXPIRED_RETRY_MS = 1000;
+const EXPIRED_RETRY_AFTER_MS = 1000;
 
 /**
  * The decision logic of one instance: a host feeds it events and carries out
@@ -85,19 +85,19 @@
   /** @returns whether the configuration is newer and now in force */
   configure(cfg: Configuration): boolean {
     const changed = this.#configuration.configure(cfg);
-    this.#pumpAll();
+    this.#dispatchAll();
     return changed;
   }
 
   place(placement: Placement): void {
     this.#configuration.place(placement);
-    this.#pumpAll();
+    this.#dispatchAll();
   }
 
   /** Takes in a validated request; the answer comes through the effects. */
   submit(request: RoutedRequest): void {
     if (this.#admission.submit(request)) {
-      this.#dispatch.pump(poolKey(request.target));
+      this.#dispatch.dispatchFromPool(poolKey(request.target));
     }
   }
 
@@ -108,7 +108,7 @@
    *   tokens must not reach the caller
    */
   onTokens(id: RequestId, attempt: number, tokens: number): boolean {
-    const record = this.#current(id, attempt);
+    const record = this.#currentRecord(id, attempt);
     if (!record) {
       return false;
     }
@@ -118,28 +118,28 @@
 
   /** Tells that an attempt delivered its whole answer. */
   onFinished(id: RequestId, attempt: number): boolean {
-    const record = this.#current(id, attempt);
+    const record = this.#currentRecord(id, attempt);
     if (!record) {
       return false;
     }
     this.#progress.onFinished(record);
-    this.#vacate(record);
+    this.#freeSlot(record);
     this.#end(record);
-    this.#dispatch.pump(poolKey(record.request.target));
+    this.#dispatch.dispatchFromPool(poolKey(record.request.target));
     return true;
   }
 
   /** Tells that an attempt failed; late news of older attempts is ignored. */
   onFailed(id: RequestId, attempt: number, failure: AttemptFailure): void {
-    const record = this.#current(id, attempt);
+    const record = this.#currentRecord(id, attempt);
     if (!record) {
       return;
     }
-    this.#vacate(record);
+    this.#freeSlot(record);
     if (!this.#recovery.onFailed(record, failure)) {
       this.#end(record);
     }
-    this.#dispatch.pump(poolKey(record.request.target));
+    this.#dispatch.dispatchFromPool(poolKey(record.request.target));
   }
 
   /** Tells that the caller closed its connection. */
@@ -157,10 +157,10 @@
     if (record.state === 'running') {
       this.#cancelAttempt(record, 'callerLeft');
     } else {
-      this.#leaveQueue(record);
+      this.#removeFromQueue(record);
     }
     this.#end(record);
-    this.#dispatch.pump(poolKey(record.request.target));
+    this.#dispatch.dispatchFromPool(poolKey(record.request.target));
   }
 
   onReport(id: BackendServerId, report: LoadReport): void {
@@ -170,13 +170,13 @@
   /** Periodic work; the host calls it about ten times a second. */
   tick(): void {
     this.#backends.tick();
-    this.#endSilent();
+    this.#failSilent();
     this.#migrate();
-    this.#expire();
-    this.#pumpAll();
+    this.#refuseExpired();
+    this.#dispatchAll();
   }
 
-  #endSilent(): void {
+  #failSilent(): void {
     this.#recovery.findSilent().forEach(record => {
       const { attempt, request } = record;
       if (!attempt) {
@@ -199,20 +199,20 @@
         tokensDelivered: record.tokensDelivered,
       });
       this.#cancelAttempt(record, 'migrated');
-      this.#recovery.displaceMigrated(record);
-      this.#dispatch.pump(poolKey(record.request.target));
+      this.#recovery.requeueMigrated(record);
+      this.#dispatch.dispatchFromPool(poolKey(record.request.target));
     });
   }
 
-  #expire(): void {
+  #refuseExpired(): void {
     const nowMs = this.board.clock();
     this.board.queues.forEach(queue => {
       queue.takeExpired(nowMs).forEach(record => {
-        this.#leaveQueue(record);
+        this.#removeFromQueue(record);
         this.#end(record);
         this.#admission.refuse(record, {
           code: record.tokensDelivered > 0 ? 'streamCut' : 'queueWaitExceeded',
-          retryAfterMs: EXPIRED_RETRY_MS,
+          retryAfterMs: EXPIRED_RETRY_AFTER_MS,
           predictedWaitMs: nowMs - record.arrivedAtMs,
           budgetMs: record.rules.maxQueueMs,
         });
@@ -220,15 +220,15 @@
     });
   }
 
-  #pumpAll(): void {
+  #dispatchAll(): void {
     this.board.queues.forEach((queue, pool) => {
       if (queue.length > 0) {
-        this.#dispatch.pump(pool);
+        this.#dispatch.dispatchFromPool(pool);
       }
     });
   }
 
-  #current(id: RequestId, attempt: number): RequestRecord | undefined {
+  #currentRecord(id: RequestId, attempt: number): RequestRecord | undefined {
     const record = this.board.requests.get(id);
     return record?.state === 'running' && record.attempt?.number === attempt
       ? record
@@ -239,10 +239,10 @@
     if (record.attempt) {
       this.board.effects.cancel(record, record.attempt, reason);
     }
-    this.#vacate(record);
+    this.#freeSlot(record);
   }
 
-  #vacate(record: RequestRecord): void {
+  #freeSlot(record: RequestRecord): void {
     const { backends, cfg } = this.board;
     const pool = poolKey(record.request.target);
     loadOf(this.board, pool).inFlight[record.rules.tier] -= 1;
@@ -258,7 +258,7 @@
   }
 
   /** Requests that were displaced stand outside the class queues. */
-  #leaveQueue(record: RequestRecord): void {
+  #removeFromQueue(record: RequestRecord): void {
     if (record.attempts > 0) {
       return;
     }
--- a/packages/decisions/src/blackboard/ClassQueue.ts
+++ b/packages/decisions/src/blackboard/ClassQueue.ts
@@ -19,19 +19,19 @@
     (a, b) => a.virtualTime - b.virtualTime,
   );
   #activeWeight = 0;
-  #virtualNow = 0;
+  #virtualTime = 0;
 
   constructor(readonly rules: RequestClass) {}
 
   push(record: RequestRecord): void {
-    const line = this.#lineOf(record);
+    const line = this.#organisationQueueOf(record);
     line.push(record);
     line.queuedTokens += record.expectedTokens;
     this.length += 1;
     this.queuedTokens += record.expectedTokens;
     if (!line.waiting) {
       // An organisation that was idle gains no claim on the past.
-      line.virtualTime = Math.max(line.virtualTime, this.#virtualNow);
+      line.virtualTime = Math.max(line.virtualTime, this.#virtualTime);
       line.weight = record.weight;
       line.waiting = true;
       this.#waiting.push(line);
@@ -42,7 +42,7 @@
   peek(): RequestRecord | undefined {
     let line = this.#waiting.peek();
     while (line && line.peek() === undefined) {
-      this.#retire(line);
+      this.#removeEmpty(line);
       line = this.#waiting.peek();
     }
     return line?.peek();
@@ -57,20 +57,20 @@
     }
     this.#waiting.pop();
     line.shift();
-    this.#virtualNow = line.virtualTime;
+    this.#virtualTime = line.virtualTime;
     line.virtualTime += record.expectedTokens / line.weight;
     this.release(record);
     if (line.peek()) {
       this.#waiting.push(line);
     } else {
-      this.#settle(line);
+      this.#deactivate(line);
     }
     return record;
   }
 
   /** Takes a record that ended while queued out of the counts. */
   release(record: RequestRecord): void {
-    const line = this.#lineOf(record);
+    const line = this.#organisationQueueOf(record);
     line.queuedTokens -= record.expectedTokens;
     this.length -= 1;
     this.queuedTokens -= record.expectedTokens;
@@ -94,7 +94,7 @@
     return Math.min(this.queuedTokens, (own + tokens) * shareInverse);
   }
 
-  #lineOf(record: RequestRecord): OrganisationQueue {
+  #organisationQueueOf(record: RequestRecord): OrganisationQueue {
     const { organisation } = record.request;
     const known = this.#organisations.get(organisation);
     if (known) {
@@ -105,12 +105,12 @@
     return line;
   }
 
-  #retire(line: OrganisationQueue): void {
+  #removeEmpty(line: OrganisationQueue): void {
     this.#waiting.pop();
-    this.#settle(line);
+    this.#deactivate(line);
   }
 
-  #settle(line: OrganisationQueue): void {
+  #deactivate(line: OrganisationQueue): void {
     line.waiting = false;
     this.#activeWeight -= line.weight;
   }
--- a/packages/decisions/src/blackboard/OrganisationQueue.ts
+++ b/packages/decisions/src/blackboard/OrganisationQueue.ts
@@ -1,6 +1,6 @@
 import type { RequestRecord } from './RoutedRequest.js';
 
-const COMPACT_AFTER = 64;
+const COMPACT_AFTER_RECORDS = 64;
 
 /** First-in first-out line of one organisation inside one class. */
 export class OrganisationQueue {
@@ -11,7 +11,7 @@
   waiting = false;
   weight = 1;
   #records: RequestRecord[] = [];
-  #first = 0;
+  #headIndex = 0;
 
   push(record: RequestRecord): void {
     this.#records.push(record);
@@ -19,10 +19,10 @@
 
   /** @returns the first record that is still queued; ended ones are skipped */
   peek(): RequestRecord | undefined {
-    let head = this.#records[this.#first];
+    let head = this.#records[this.#headIndex];
     while (head && head.state !== 'queued') {
       this.#dropHead();
-      head = this.#records[this.#first];
+      head = this.#records[this.#headIndex];
     }
     return head;
   }
@@ -33,10 +33,13 @@
   }
 
   #dropHead(): void {
-    this.#first += 1;
-    if (this.#first > COMPACT_AFTER && this.#first * 2 > this.#records.length) {
-      this.#records = this.#records.slice(this.#first);
-      this.#first = 0;
+    this.#headIndex += 1;
+    if (
+      this.#headIndex > COMPACT_AFTER_RECORDS &&
+      this.#headIndex * 2 > this.#records.length
+    ) {
+      this.#records = this.#records.slice(this.#headIndex);
+      this.#headIndex = 0;
     }
   }
 }
--- a/packages/decisions/src/blackboard/PoolLoad.ts
+++ b/packages/decisions/src/blackboard/PoolLoad.ts
@@ -14,20 +14,20 @@
   readonly inFlight = zero();
   /** Smoothed tokens a millisecond that callers ask for, shed ones included. */
   readonly offered = zero();
-  #sinceRoll = zero();
-  #rolledAtMs: number;
+  #tokensInPeriod = zero();
+  #periodStartMs: number;
 
   constructor(nowMs: number) {
-    this.#rolledAtMs = nowMs;
+    this.#periodStartMs = nowMs;
   }
 
   note(tier: Tier, expectedTokens: number): void {
-    this.#sinceRoll[tier] += expectedTokens;
+    this.#tokensInPeriod[tier] += expectedTokens;
   }
 
   /** Closes a period of measurement. */
-  roll(nowMs: number): void {
-    const elapsedMs = nowMs - this.#rolledAtMs;
+  updateAverages(nowMs: number): void {
+    const elapsedMs = nowMs - this.#periodStartMs;
     if (elapsedMs <= 0) {
       return;
     }
@@ -35,11 +35,11 @@
     TIERS.forEach(tier => {
       // Starts from nothing, not from its first reading: one early request
       // would otherwise look like a flood and keep lower tiers out.
-      const latest = this.#sinceRoll[tier] / elapsedMs;
+      const latest = this.#tokensInPeriod[tier] / elapsedMs;
       this.offered[tier] += share * (latest - this.offered[tier]);
     });
-    this.#sinceRoll = zero();
-    this.#rolledAtMs = nowMs;
+    this.#tokensInPeriod = zero();
+    this.#periodStartMs = nowMs;
   }
 
   /** Tokens a millisecond asked for by tiers above this one. */
--- a/packages/decisions/src/blackboard/RequestQueue.ts
+++ b/packages/decisions/src/blackboard/RequestQueue.ts
@@ -55,14 +55,14 @@
 
   push(record: RequestRecord): void {
     this.classQueue(record).push(record);
-    this.#expire(record, record.arrivedAtMs);
+    this.#scheduleExpiry(record, record.arrivedAtMs);
   }
 
   pushDisplaced(record: RequestRecord, nowMs: number): void {
     // A stream under way is worth more than its first-token target.
     record.budgetMs = record.rules.maxQueueMs;
     this.#displaced.push(record);
-    this.#expire(record, nowMs);
+    this.#scheduleExpiry(record, nowMs);
   }
 
   peekDisplaced(): RequestRecord | undefined {
@@ -98,7 +98,7 @@
     return expired;
   }
 
-  #expire(record: RequestRecord, sinceMs: number): void {
+  #scheduleExpiry(record: RequestRecord, sinceMs: number): void {
     const atMs = sinceMs + record.budgetMs;
     this.#expiries.push({ atMs, record, attempts: record.attempts });
   }
--- a/packages/decisions/src/blackboard/RoutedRequest.ts
+++ b/packages/decisions/src/blackboard/RoutedRequest.ts
@@ -55,7 +55,7 @@
   costlyAttempts: number;
   tokensDelivered: number;
   /** Whether the present attempt has brought a token. */
-  flowing: boolean;
+  attemptHasTokens: boolean;
   firstTokenAtMs: number | null;
   lastProgressAtMs: number;
   /** Backend servers on which an attempt of this request failed. */
--- a/packages/decisions/src/controllers/AdmissionController.ts
+++ b/packages/decisions/src/controllers/AdmissionController.ts
@@ -15,7 +15,7 @@
 const RETRY_CREDIT_PER_REQUEST = 0.2;
 const MAX_RETRY_CREDIT = 60;
 const INITIAL_RETRY_CREDIT = 20;
-const NO_SERVER_RETRY_MS = 1000;
+const NO_SERVER_RETRY_AFTER_MS = 1000;
 
 /** Takes requests in: limits, prediction, then the queue. */
 export class AdmissionController {
@@ -40,7 +40,7 @@
       this.refuse(record, refusal);
       return null;
     }
-    this.#earnRetryCredit(record.rules);
+    this.#addRetryCredit(record.rules);
     this.board.requests.set(request.id, record);
     const queue = queueOf(this.board, pool);
     queue.push(record);
@@ -83,7 +83,7 @@
       attempts: 0,
       costlyAttempts: 0,
       tokensDelivered: 0,
-      flowing: false,
+      attemptHasTokens: false,
       firstTokenAtMs: null,
       lastProgressAtMs: nowMs,
       failedOn: new Set(),
@@ -105,7 +105,7 @@
     }
     return {
       code: 'noBackendServer',
-      retryAfterMs: NO_SERVER_RETRY_MS,
+      retryAfterMs: NO_SERVER_RETRY_AFTER_MS,
       predictedWaitMs: Infinity,
       budgetMs: record.rules.maxQueueMs,
     };
@@ -141,7 +141,7 @@
     return null;
   }
 
-  #earnRetryCredit({ id }: RequestClass): void {
+  #addRetryCredit({ id }: RequestClass): void {
     const { retryCredits } = this.board;
     const credit = retryCredits.get(id) ?? INITIAL_RETRY_CREDIT;
     retryCredits.set(
--- a/packages/decisions/src/controllers/BackendController.ts
+++ b/packages/decisions/src/controllers/BackendController.ts
@@ -5,11 +5,11 @@
 import type { ConcurrencyPolicy } from '../policies/concurrency/ConcurrencyPolicy.js';
 import { median } from '../util/median.js';
 
-const STRAGGLER_FACTOR = 2;
-const RECOVERED_FACTOR = 1.5;
-const MIN_PEERS = 3;
+const STRAGGLER_ENTER_FACTOR = 2;
+const STRAGGLER_EXIT_FACTOR = 1.5;
+const MIN_MEASURED_SERVERS = 3;
 const HISTORY_MS = 5000;
-const FIRST_AVOID_MS = 250;
+const INITIAL_AVOID_MS = 250;
 const MAX_AVOID_MS = 15_000;
 
 /** Own requests in flight at a past moment, by the samples taken then. */
@@ -48,7 +48,7 @@
     if (!view || view.avoidUntilMs > nowMs) {
       return;
     }
-    const avoidMs = FIRST_AVOID_MS * 2 ** view.consecutiveFailures;
+    const avoidMs = INITIAL_AVOID_MS * 2 ** view.consecutiveFailures;
     view.avoidUntilMs = nowMs + Math.min(MAX_AVOID_MS, avoidMs);
     view.consecutiveFailures += 1;
   }
@@ -58,17 +58,17 @@
     const nowMs = this.board.clock();
     this.board.backends.forEach(view => {
       this.concurrency.adapt(view);
-      this.#sample(view, nowMs);
+      this.#sampleInFlight(view, nowMs);
     });
     this.board.loads.forEach(load => {
-      load.roll(nowMs);
+      load.updateAverages(nowMs);
     });
     this.board.pools.forEach(views => {
-      this.#findStragglers(views);
+      this.#markStragglers(views);
     });
   }
 
-  #sample(view: BackendView, nowMs: number): void {
+  #sampleInFlight(view: BackendView, nowMs: number): void {
     view.history.push({ atMs: nowMs, inFlight: view.inFlight });
     const oldest = view.history[0];
     if (oldest && oldest.atMs < nowMs - HISTORY_MS) {
@@ -76,14 +76,16 @@
     }
   }
 
-  #findStragglers(views: readonly BackendView[]): void {
+  #markStragglers(views: readonly BackendView[]): void {
     const measured = views.filter(view => view.betweenTokensMs > 0);
-    if (measured.length < MIN_PEERS) {
+    if (measured.length < MIN_MEASURED_SERVERS) {
       return;
     }
     const typical = median(measured.map(view => view.betweenTokensMs));
     measured.forEach(view => {
-      const factor = view.straggler ? RECOVERED_FACTOR : STRAGGLER_FACTOR;
+      const factor = view.straggler
+        ? STRAGGLER_EXIT_FACTOR
+        : STRAGGLER_ENTER_FACTOR;
       view.straggler = view.betweenTokensMs > typical * factor;
     });
   }
--- a/packages/decisions/src/controllers/DispatchController.ts
+++ b/packages/decisions/src/controllers/DispatchController.ts
@@ -15,7 +15,7 @@
 import { explain } from '../util/explain.js';
 import { poolKey } from '../util/poolKey.js';
 
-const MAX_PREFIXES = 512;
+const MAX_PREFIXES_PER_SERVER = 512;
 /** Requests' worth of credit that a class may save up. */
 const MAX_CREDIT_REQUESTS = 2;
 
@@ -26,11 +26,11 @@
   readonly concurrency: ConcurrencyPolicy;
 }
 
-function rememberPrefix(view: BackendView, record: RequestRecord): void {
+function recordPrefix(view: BackendView, record: RequestRecord): void {
   const { prefixHash, promptTokens } = record.request;
   view.prefixes.delete(prefixHash);
   view.prefixes.set(prefixHash, promptTokens);
-  if (view.prefixes.size > MAX_PREFIXES) {
+  if (view.prefixes.size > MAX_PREFIXES_PER_SERVER) {
     const [oldest] = view.prefixes.keys();
     view.prefixes.delete(oldest ?? prefixHash);
   }
@@ -57,7 +57,7 @@
   ) {}
 
   /** Dispatches from the queue of one pool until no server has room. */
-  pump(pool: string): void {
+  dispatchFromPool(pool: string): void {
     const queue = queueOf(this.board, pool);
     const views = this.board.pools.get(pool) ?? [];
     let sent = true;
@@ -69,7 +69,7 @@
   }
 
   /** Chooses a server for a request without sending it. */
-  choose(record: RequestRecord): RoutingChoice {
+  chooseServer(record: RequestRecord): RoutingChoice {
     const views = this.board.pools.get(poolKey(record.request.target)) ?? [];
     return this.#route(record, views);
   }
@@ -84,7 +84,7 @@
     views: readonly BackendView[],
   ): boolean {
     const record = queue.peekDisplaced();
-    if (!record || !this.#hasRoom(record, views)) {
+    if (!record || !this.#hasFreeSlot(record, views)) {
       return false;
     }
     const choice = this.#route(record, views);
@@ -103,7 +103,7 @@
       return false;
     }
     const { concurrency } = this.policies;
-    if (!this.#hasRoom(record, views)) {
+    if (!this.#hasFreeSlot(record, views)) {
       return false;
     }
     if (!next.guaranteed && !concurrency.mayStart(record, views)) {
@@ -120,7 +120,7 @@
   }
 
   /** Cheap check that spares the full comparison when every server is full. */
-  #hasRoom(record: RequestRecord, views: readonly BackendView[]): boolean {
+  #hasFreeSlot(record: RequestRecord, views: readonly BackendView[]): boolean {
     const { slots } = this.policies.concurrency;
     return views.some(view => view.inFlight < slots(view, record));
   }
@@ -143,9 +143,9 @@
     record.attempts = attempt.number;
     record.attempt = attempt;
     record.state = 'running';
-    record.flowing = false;
+    record.attemptHasTokens = false;
     record.lastProgressAtMs = nowMs;
-    this.#occupy(view, record);
+    this.#takeSlot(view, record);
     explain(board, record, {
       kind: 'routed',
       backendServer: view.server.id,
@@ -156,7 +156,7 @@
     board.effects.dispatch(record, attempt);
   }
 
-  #occupy(view: BackendView, record: RequestRecord): void {
+  #takeSlot(view: BackendView, record: RequestRecord): void {
     const { rules } = record;
     view.inFlight += 1;
     loadOf(this.board, poolKey(record.request.target)).inFlight[rules.tier] +=
@@ -169,6 +169,6 @@
       view.tightestBetweenTokensMs,
       rules.betweenTokensTargetMs,
     );
-    rememberPrefix(view, record);
+    recordPrefix(view, record);
   }
 }
--- a/packages/decisions/src/controllers/ProgressController.ts
+++ b/packages/decisions/src/controllers/ProgressController.ts
@@ -4,8 +4,8 @@
 import { explain } from '../util/explain.js';
 import { smooth } from '../util/smooth.js';
 
-const BETWEEN_TOKENS_SHARE = 0.05;
-const FIRST_TOKEN_SHARE = 0.1;
+const BETWEEN_TOKENS_WEIGHT = 0.05;
+const FIRST_TOKEN_WEIGHT = 0.1;
 
 /** Follows running requests and learns from their latency. */
 export class ProgressController {
@@ -21,10 +21,16 @@
     const nowMs = this.board.clock();
     const view = this.#viewOf(record);
     if (view && record.attempt) {
-      this.#learn(view, record, record.attempt.dispatchedAtMs, tokens, nowMs);
+      this.#updateLatencies(
+        view,
+        record,
+        record.attempt.dispatchedAtMs,
+        tokens,
+        nowMs,
+      );
     }
     record.firstTokenAtMs ??= nowMs;
-    record.flowing = true;
+    record.attemptHasTokens = true;
     record.tokensDelivered += tokens;
     record.lastProgressAtMs = nowMs;
   }
@@ -60,7 +66,7 @@
     }
   }
 
-  #learn(
+  #updateLatencies(
     view: BackendView,
     record: RequestRecord,
     dispatchedAtMs: number,
@@ -68,12 +74,12 @@
     nowMs: number,
   ): void {
     view.samples += 1;
-    if (!record.flowing) {
+    if (!record.attemptHasTokens) {
       const waitedMs = nowMs - dispatchedAtMs;
       view.firstTokenMs = smooth(
         view.firstTokenMs,
         waitedMs,
-        FIRST_TOKEN_SHARE,
+        FIRST_TOKEN_WEIGHT,
       );
       return;
     }
@@ -81,7 +87,7 @@
     view.betweenTokensMs = smooth(
       view.betweenTokensMs,
       gapMs,
-      BETWEEN_TOKENS_SHARE,
+      BETWEEN_TOKENS_WEIGHT,
     );
   }
 
--- a/packages/decisions/src/controllers/RecoveryController.ts
+++ b/packages/decisions/src/controllers/RecoveryController.ts
@@ -19,9 +19,9 @@
 }
 
 const MIN_SILENCE_MS = 750;
-const SILENCE_GAPS = 10;
-const MIN_FIRST_SILENCE_MS = 2000;
-const FIRST_SILENCE_FACTOR = 4;
+const SILENCE_GAP_FACTOR = 10;
+const MIN_FIRST_TOKEN_SILENCE_MS = 2000;
+const FIRST_TOKEN_SILENCE_FACTOR = 4;
 const SERVICE_SILENCE_FACTOR = 8;
 const MIN_SERVICE_SILENCE_MS = 5000;
 const MIN_TOKENS_LEFT_TO_MIGRATE = 24;
@@ -67,8 +67,8 @@
       this.#fail(record, failure);
       return false;
     }
-    this.#explainNext(record, verdict);
-    this.#displace(record);
+    this.#explainNextAttempt(record, verdict);
+    this.#requeue(record);
     board.requests.set(record.request.id, record);
     return true;
   }
@@ -93,11 +93,11 @@
   }
 
   /** Puts a request that left a straggler back in line. */
-  displaceMigrated(record: RequestRecord): void {
-    this.#displace(record);
+  requeueMigrated(record: RequestRecord): void {
+    this.#requeue(record);
   }
 
-  #displace(record: RequestRecord): void {
+  #requeue(record: RequestRecord): void {
     record.state = 'queued';
     record.attempt = null;
     const pool = poolKey(record.request.target);
@@ -122,7 +122,10 @@
     });
   }
 
-  #explainNext(record: RequestRecord, verdict: 'resume' | 'retry'): void {
+  #explainNextAttempt(
+    record: RequestRecord,
+    verdict: 'resume' | 'retry',
+  ): void {
     const { attempt } = record;
     if (!attempt) {
       return;
@@ -168,14 +171,14 @@
       );
     }
     const view = attempt && this.board.backends.get(attempt.backendServer);
-    if (record.flowing) {
+    if (record.attemptHasTokens) {
       const paceMs = view?.betweenTokensMs ?? 0;
-      return Math.max(MIN_SILENCE_MS, paceMs * SILENCE_GAPS);
+      return Math.max(MIN_SILENCE_MS, paceMs * SILENCE_GAP_FACTOR);
     }
     return Math.max(
-      MIN_FIRST_SILENCE_MS,
+      MIN_FIRST_TOKEN_SILENCE_MS,
       rules.firstTokenTargetMs,
-      (view?.firstTokenMs ?? 0) * FIRST_SILENCE_FACTOR,
+      (view?.firstTokenMs ?? 0) * FIRST_TOKEN_SILENCE_FACTOR,
     );
   }
 
@@ -191,7 +194,7 @@
       record.attempts < MAX_ATTEMPTS_TO_MIGRATE &&
       record.tokensDelivered > 0 &&
       left >= MIN_TOKENS_LEFT_TO_MIGRATE &&
-      this.dispatch.choose(record).view !== undefined
+      this.dispatch.chooseServer(record).view !== undefined
     );
   }
 }
--- a/packages/decisions/src/duties/DutyBoard.ts
+++ b/packages/decisions/src/duties/DutyBoard.ts
@@ -7,35 +7,39 @@
 import { UsageCollector } from './UsageCollector.js';
 import { UsageLedger } from './UsageLedger.js';
 
-/** Duties of a deployment, which one instance does for all. */
+/** Settings of the duties: work that a single instance performs for the whole fleet. */
 export interface DutySettings {
+  /** Length of the lease on the duties, in milliseconds. */
   readonly leaseMs: number;
-  /** Length of a window of usage, in milliseconds. */
+  /** Length of a usage window, in milliseconds. */
   readonly windowMs: number;
-  /** Time after a window in which its usage is to be reported. */
+  /** Time after the end of a window within which its usage is due, in milliseconds. */
   readonly lateMs: number;
+  /** Whether the holder reports usage to the platform. */
   readonly reportsUsage: boolean;
+  /** Whether the holder orders replicas from the platform. */
   readonly ordersReplicas: boolean;
 }
 
-/** What an instance knows of the duties, whoever holds them. */
+/** State of the duties as known to one instance, whether or not it is the holder. */
 export interface DutyBoard {
   readonly settings: DutySettings;
   readonly fleetClock: FleetClock;
   readonly usage: UsageLedger;
   readonly collector: UsageCollector;
-  /** The newest that was heard of the holding; null before. */
+  /** The latest known state of the holding; null until one is known. */
   news: HoldingNews | null;
 }
 
-/** What a board of duties is made of. */
+/** Dependencies of a {@link DutyBoard}. */
 export interface DutyBoardOptions {
   readonly settings: DutySettings;
   readonly storeClock: StoreClock;
+  /** Wall clock of this instance, in Unix milliseconds. */
   readonly timeOfDay: () => number;
 }
 
-/** @returns a board of an instance that knows of no holder yet */
+/** @returns a duty board on which no holder is known */
 export function createDutyBoard({
   settings,
   storeClock,
@@ -51,9 +55,11 @@
 }
 
 /**
- * Takes in what was heard of the holding.
+ * Records the state of the holding if it is newer than the known one.
  *
- * @returns whether another instance holds it now, or a lease was given up
+ * @param board - duty board to update
+ * @param told - state received from another instance or read from the store
+ * @returns whether the fencing token changed or the lease was released
  */
 export function noteHolding(board: DutyBoard, told: HoldingNews): boolean {
   const known = board.news;
@@ -61,11 +67,17 @@
     return false;
   }
   board.news = told;
-  board.collector.forget(told.decidedThrough);
+  board.collector.discardThrough(told.decidedThrough);
   return known?.token !== told.token || told.released;
 }
 
-/** @returns the instance that would take over first, beside the holder */
+/**
+ * Finds the instance that would take over from the holder.
+ *
+ * @param board - duty board that names the holder
+ * @param candidates - instances in order of precedence
+ * @returns the first candidate that is not the holder; null if there is none
+ */
 export function deputyOf(
   board: DutyBoard,
   candidates: readonly InstanceId[],
--- a/packages/decisions/src/duties/FleetClock.ts
+++ b/packages/decisions/src/duties/FleetClock.ts
@@ -4,18 +4,18 @@
 import { median } from '../util/median.js';
 
 /**
- * The time of day on which the instances agree.
+ * Wall-clock time on which the instances agree.
  *
- * The time of day of one instance may jump. The store's clock doesn't, and by how much
- * the two differ is the same for all: the median over the instances is taken, which
- * few clocks that are wrong don't move.
+ * The wall clock of a single instance may jump, but the store's clock does not. Each
+ * instance contributes the offset between its wall clock and the store's clock. The
+ * median of these offsets is used, so that a minority of wrong clocks has no effect.
  */
 export class FleetClock {
   readonly #offsets = new Map<InstanceId, number>();
 
   /**
-   * @param storeClock - what is known of the store's clock
-   * @param timeOfDay - of this instance, in Unix milliseconds
+   * @param storeClock - estimate of the store's clock
+   * @param timeOfDay - wall clock of this instance, in Unix milliseconds
    */
   constructor(
     private readonly storeClock: StoreClock,
@@ -23,17 +23,18 @@
   ) {}
 
   /**
-   * Takes in what another instance's clock showed.
+   * Records a clock reading of another instance.
    *
-   * @param instance - that told it
-   * @param unixMs - its time of day
-   * @param storeMs - the store's clock, as it knew it at the same moment
+   * @param instance - instance that sent the reading
+   * @param unixMs - its wall clock, in Unix milliseconds
+   * @param storeMs - its estimate of the store's clock at the same moment, in
+   *   milliseconds
    */
   onPeer(instance: InstanceId, unixMs: number, storeMs: number): void {
     this.#offsets.set(instance, unixMs - storeMs);
   }
 
-  /** Forgets instances that live no longer. */
+  /** Discards the offsets of all instances that are not in the list. */
   keepOnly(live: readonly InstanceId[]): void {
     const alive = new Set(live);
     [...this.#offsets.keys()]
@@ -41,7 +42,10 @@
       .forEach(instance => this.#offsets.delete(instance));
   }
 
-  /** The time of day in Unix milliseconds. */
+  /**
+   * The agreed time in Unix milliseconds, or the wall clock of this instance while the
+   * store's clock is unknown.
+   */
   get nowMs(): number {
     const ownMs = this.timeOfDay();
     const storeMs = this.storeClock.latestMs;
--- a/packages/decisions/src/duties/HolderLease.ts
+++ b/packages/decisions/src/duties/HolderLease.ts
@@ -8,118 +8,126 @@
 import type {
   HolderLeaseOptions,
   HoldingWrite,
-  LeaseFacts,
+  LeaseInputs,
   LeaseState,
   LeaseStep,
 } from './LeaseState.js';
-import { startedAt } from './LeaseState.js';
+import { initialLeaseState } from './LeaseState.js';
 
-/** Part of the lease that a holder leaves unused at its end. */
-const MARGIN_SHARE = 0.15;
-/** Part of the lease after which it is renewed. */
-const RENEW_SHARE = 0.3;
-/** Part of the lease for which a former holder stays away after another took over. */
-const STAY_AWAY_SHARE = 1.5;
-/** Time after the end of a lease from which the first candidate looks, in milliseconds. */
-const LOOK_AFTER_MS = 200;
-/** Each further candidate looks this much later. */
-const STAGGER_MS = 200;
-const MAX_STAGGER_MS = 3000;
-/** Time in which instances meet before the first one looks, in milliseconds. */
-const FIRST_LOOK_MS = 1500;
+/** Share of the lease that the holder leaves unused at its end, as a safety margin. */
+const EXPIRY_MARGIN_SHARE = 0.15;
+/** Share of the lease after which the holder renews it. */
+const RENEW_AFTER_SHARE = 0.3;
+/** Time for which a replaced holder must not take over again, as a multiple of the lease. */
+const COOLDOWN_SHARE = 1.5;
+/** Delay between the end of a lease and the first candidate's read of the row. */
+const READ_DELAY_MS = 200;
+/** Additional delay of each further candidate, so that they do not all read at once. */
+const READ_STAGGER_MS = 200;
+const MAX_READ_STAGGER_MS = 3000;
+/** Delay of the first read after a start, in which the instances discover each other. */
+const FIRST_READ_DELAY_MS = 1500;
 
 const IDLE: LeaseStep = { kind: 'idle' };
 const READ: LeaseStep = { kind: 'read' };
 
 /**
- * Decides who holds the duties that one instance does for all.
+ * Lease by which one instance holds the duties of the fleet.
  *
- * The row in the store is the only arbiter: it is written under the condition that
- * nobody wrote it since it was read, and with a higher token whenever the holder
- * changes. A holder counts its lease on its own clock, from before the write was
- * sent; others wait for the end on the store's clock, which is never earlier.
+ * The row in the store is the only arbiter. Every write is conditional on the version
+ * that was read, and every change of the holder raises the fencing token. The holder
+ * measures its lease on its own clock, from before it sent the write. Other instances
+ * wait for the end of the lease on the store's clock, which is never earlier.
+ *
+ * Performs no I/O: {@link HolderLease.next} returns the next step, and the caller
+ * reports its outcome.
  */
 export class HolderLease {
   #state: LeaseState;
 
   /**
-   * @param options - who takes part, and the clocks
-   * @param state - to go on from; that of an instance that has just started if omitted
+   * @param options - identity of this instance, length of the lease, and clocks
+   * @param state - state to continue from; that of a newly started instance if omitted
    */
   constructor(
     private readonly options: HolderLeaseOptions,
-    state: LeaseState = startedAt(options.clock()),
+    state: LeaseState = initialLeaseState(options.clock()),
   ) {
     this.#state = state;
   }
 
-  /** All that this instance knows of the lease. */
+  /** State of the lease as known to this instance. */
   get state(): LeaseState {
     return this.#state;
   }
 
-  /** Token with which this instance may act now; null where it may not. */
+  /** Fencing token under which this instance may act now; null if it is not the holder. */
   get token(): number | null {
     return this.options.clock() < this.#state.heldUntilMs
       ? this.#state.token
       : null;
   }
 
-  /** What the store is known to hold of this holder's notes. */
+  /** Notes of this holder that are known to be in the store. */
   get confirmed(): DutyNotes {
     return this.#state.confirmed;
   }
 
-  /** The holding as this instance last saw it in the store; null before. */
+  /** The holding as last read or written by this instance; null if there is none. */
   get known(): Holding | null {
     return this.#state.row?.holding ?? null;
   }
 
-  /** Ceases to hold until the store was read again, as after standing still. */
+  /** Stops holding until the row was read again, for example after a process pause. */
   drop(): void {
-    this.#set({ heldUntilMs: -Infinity, mustRead: true, isFresh: false });
+    this.#update({ heldUntilMs: -Infinity, mustRead: true, isFresh: false });
   }
 
   /**
-   * Takes a new token with the next write.
+   * Requests a new token with the next write.
    *
-   * A call that got no answer may be carried out later; the platform refuses it once
-   * it has seen the new token.
+   * A platform call without an answer may still be executed later. The platform rejects
+   * it once it has seen the new token.
    */
   renumber(): void {
-    this.#set({ wantsNewToken: true });
+    this.#update({ wantsNewToken: true });
   }
 
-  /** Decides what to do next. */
-  next(facts: LeaseFacts): LeaseStep {
+  /**
+   * Decides the next step.
+   *
+   * @param inputs - state of the instance and of the fleet
+   * @returns the step that the caller is to execute
+   */
+  next(inputs: LeaseInputs): LeaseStep {
     const isHeld = this.token !== null;
-    if (facts.givesUp) {
+    if (inputs.givesUp) {
       return isHeld && !this.#state.mustRead
-        ? this.#release(facts.notes)
+        ? this.#release(inputs.notes)
         : IDLE;
     }
     if (isHeld) {
-      return this.#whileHeld(facts.notes);
+      return this.#maintain(inputs.notes);
     }
     if (this.#state.isFresh) {
-      this.#set({ isFresh: false });
-      return this.#mayTake() ? this.#take() : IDLE;
+      this.#update({ isFresh: false });
+      return this.#mayAcquire() ? this.#acquire() : IDLE;
     }
-    return this.#isLookDue(facts) ? READ : IDLE;
+    return this.#isReadDue(inputs) ? READ : IDLE;
   }
 
   /**
-   * Takes in the row as the store holds it.
+   * Records the row as it is in the store.
    *
-   * @param row - as read, or as a refused write was answered
-   * @param storeMs - the store's clock then
+   * @param row - result of a read, or the row returned with a rejected write
+   * @param storeMs - the store's clock at that moment, in milliseconds
    */
   onRead(row: HoldingRow, storeMs: number): void {
     const { holding } = row;
     const isOwn =
       holding?.holder === this.options.holder &&
       holding.token === this.#state.token;
-    this.#set({
+    this.#update({
       row,
       readAtStoreMs: storeMs,
       isFresh: true,
@@ -129,16 +137,16 @@
   }
 
   /**
-   * Takes note that a write was done.
+   * Records that a write was accepted.
    *
-   * @param write - that the store has accepted
-   * @param version - that the row has now
-   * @param sentMs - local time before it was sent
+   * @param write - the accepted write
+   * @param version - new version of the row
+   * @param sentMs - local time before the write was sent, in milliseconds
    */
   onWritten({ holding }: HoldingWrite, version: number, sentMs: number): void {
     const { leaseMs } = this.options;
     const { wantsNewToken, token } = this.#state;
-    this.#set({
+    this.#update({
       row: { version, holding },
       isFresh: false,
       confirmed: holding.notes,
@@ -147,23 +155,25 @@
       renewedMs: sentMs,
       heldUntilMs: holding.released
         ? -Infinity
-        : sentMs + (1 - MARGIN_SHARE) * leaseMs,
+        : sentMs + (1 - EXPIRY_MARGIN_SHARE) * leaseMs,
     });
   }
 
-  /** Takes note that it isn't known whether a write was or will be done. */
+  /** Records that a write has an unknown outcome: it may still be applied later. */
   onUnanswered(): void {
-    this.#set({ mustRead: true });
+    this.#update({ mustRead: true });
   }
 
-  #whileHeld(notes: DutyNotes): LeaseStep {
+  #maintain(notes: DutyNotes): LeaseStep {
     if (this.#state.mustRead || !this.#state.row) {
       return READ;
     }
     const { clock, leaseMs } = this.options;
-    const isDue = clock() - this.#state.renewedMs >= RENEW_SHARE * leaseMs;
-    const isNews = notes !== this.#state.confirmed || this.#state.wantsNewToken;
-    return isDue || isNews
+    const isDue =
+      clock() - this.#state.renewedMs >= RENEW_AFTER_SHARE * leaseMs;
+    const isChanged =
+      notes !== this.#state.confirmed || this.#state.wantsNewToken;
+    return isDue || isChanged
       ? this.#write(this.#state.token + (this.#state.wantsNewToken ? 1 : 0), {
           former: this.#state.row.holding?.former ?? [],
           notes,
@@ -172,17 +182,17 @@
       : IDLE;
   }
 
-  /** Lets the next holder begin at once. */
+  /** Releases the lease, so that the next holder can take over at once. */
   #release(notes: DutyNotes): LeaseStep {
     const former = this.#state.row?.holding?.former ?? [];
     return this.#write(this.#state.token, { former, notes, released: true });
   }
 
-  #take(): LeaseStep {
-    const before = this.#state.row?.holding ?? null;
-    return this.#write((before?.token ?? 0) + 1, {
-      former: this.#formerAfter(before),
-      notes: before?.notes ?? NO_NOTES,
+  #acquire(): LeaseStep {
+    const previous = this.#state.row?.holding ?? null;
+    return this.#write((previous?.token ?? 0) + 1, {
+      former: this.#formerHoldersAfter(previous),
+      notes: previous?.notes ?? NO_NOTES,
       released: false,
     });
   }
@@ -213,30 +223,33 @@
     };
   }
 
-  /** The former holders that must stay away for a while yet. */
-  #formerAfter(before: Holding | null): readonly FormerHolder[] {
+  /** Former holders that must not take over yet, including the one being replaced. */
+  #formerHoldersAfter(previous: Holding | null): readonly FormerHolder[] {
     const { holder } = this.options;
-    if (!before) {
+    if (!previous) {
       return [];
     }
-    const left = { holder: before.holder, atMs: this.#state.readAtStoreMs };
-    return [left, ...before.former].filter(
-      former => former.holder !== holder && this.#staysAway(former),
+    const replaced = {
+      holder: previous.holder,
+      atMs: this.#state.readAtStoreMs,
+    };
+    return [replaced, ...previous.former].filter(
+      former => former.holder !== holder && this.#isCoolingDown(former),
     );
   }
 
-  #staysAway({ atMs }: FormerHolder): boolean {
-    const awayMs = STAY_AWAY_SHARE * this.options.leaseMs;
-    return this.#state.readAtStoreMs - atMs < awayMs;
+  #isCoolingDown({ atMs }: FormerHolder): boolean {
+    const cooldownMs = COOLDOWN_SHARE * this.options.leaseMs;
+    return this.#state.readAtStoreMs - atMs < cooldownMs;
   }
 
   /**
    * Whether the row allows this instance to take over.
    *
-   * Guards against a holder that loses the duties and takes them back at once: a call
-   * of the one between would lie between two of its own within one lease.
+   * Guards against a holder that loses the duties and regains them at once: a call of
+   * the intermediate holder would fall between two of its own calls within one lease.
    */
-  #mayTake(): boolean {
+  #mayAcquire(): boolean {
     const holding = this.#state.row?.holding;
     if (!holding) {
       return true;
@@ -248,26 +261,26 @@
     return (
       this.#state.readAtStoreMs > holding.untilMs &&
       !holding.former.some(
-        former => former.holder === holder && this.#staysAway(former),
+        former => former.holder === holder && this.#isCoolingDown(former),
       )
     );
   }
 
-  #isLookDue({ rank, news }: LeaseFacts): boolean {
+  #isReadDue({ rank, news }: LeaseInputs): boolean {
     const { clock, storeClock } = this.options;
     const { latestMs } = storeClock;
     const overdueMs = news
-      ? latestMs - news.untilMs - LOOK_AFTER_MS
-      : clock() - this.#state.startedMs - FIRST_LOOK_MS;
-    // The rank is worked out only where it matters, since it takes all instances.
+      ? latestMs - news.untilMs - READ_DELAY_MS
+      : clock() - this.#state.startedMs - FIRST_READ_DELAY_MS;
+    // The rank is computed last because it takes a pass over all instances.
     return (
       overdueMs > 0 &&
       (!news || Number.isFinite(latestMs)) &&
-      overdueMs > Math.min(MAX_STAGGER_MS, rank() * STAGGER_MS)
+      overdueMs > Math.min(MAX_READ_STAGGER_MS, rank() * READ_STAGGER_MS)
     );
   }
 
-  #set(change: Partial<LeaseState>): void {
+  #update(change: Partial<LeaseState>): void {
     this.#state = { ...this.#state, ...change };
   }
 }
--- a/packages/decisions/src/duties/Holding.ts
+++ b/packages/decisions/src/duties/Holding.ts
@@ -6,49 +6,53 @@
 } from '@jujubecroft/types';
 import type { Brand } from '@jujubecroft/types';
 
-/** A machine that may hold the duties; its name alone may pass to another machine. */
+/**
+ * Machine that may hold the duties. Distinct from its instance id, which can be
+ * reassigned to another machine.
+ */
 export type HolderId = Brand<string, 'HolderId'>;
 
-/** A holder before the present one. */
+/** A previous holder of the duties. */
 export interface FormerHolder {
   readonly holder: HolderId;
-  /** When another one took over, on the store's clock. */
+  /** When it was replaced, in milliseconds on the store's clock. */
   readonly atMs: number;
 }
 
-/** Requests that began to run in one window, by organisation. */
+/** Number of requests that started to run within one window, by organisation. */
 export interface WindowUsage {
-  /** Number of the window, counted from the start of 1970. */
+  /** Index of the window, counted from the Unix epoch. */
   readonly window: number;
   readonly counts: Readonly<Record<OrganisationId, number>>;
 }
 
-/** How many replicas of one kind a failure domain should have. */
+/** Desired number of replicas of one service and kind in a failure domain. */
 export interface ReplicaOrder {
   readonly service: ServiceId;
   readonly failureDomain: FailureDomainId;
-  /** Whether the replicas are cheap ones that may be reclaimed. */
+  /** Whether the order is for spot replicas, which the platform may reclaim. */
   readonly spot: boolean;
   readonly count: number;
 }
 
-/** Replicas that the peaks of a service need. */
+/** Number of replicas that a service needs at peak load. */
 export interface ServiceNeed {
   readonly service: ServiceId;
   readonly replicas: number;
 }
 
-/** What a holder hands on to the next one. */
+/** State that a holder passes on to its successor through the store. */
 export interface DutyNotes {
   /** Last window whose usage was reported; null before the first report is due. */
   readonly reportedThrough: number | null;
-  /** Usage that was decided and is not known to be reported, oldest first. */
+  /** Final usage of windows that are not known to be reported, oldest first. */
   readonly decided: readonly WindowUsage[];
-  /** The orders in force. */
+  /** Replica orders in force. */
   readonly orders: readonly ReplicaOrder[];
   readonly needs: readonly ServiceNeed[];
 }
 
+/** Notes of a fleet whose duties were never held. */
 export const NO_NOTES: DutyNotes = {
   reportedThrough: null,
   decided: [],
@@ -56,39 +60,39 @@
   needs: [],
 };
 
-/** Who holds the duties of the fleet, as it stands in the store. */
+/** The lease on the duties of the fleet, as stored. */
 export interface Holding {
   readonly holder: HolderId;
   readonly instance: InstanceId;
-  /** Fencing token; grows with every take-over and is never used again. */
+  /** Fencing token; increases with every takeover and is never reused. */
   readonly token: number;
-  /** When the lease ends at the latest, on the store's clock. */
+  /** Latest end of the lease, in milliseconds on the store's clock. */
   readonly untilMs: number;
-  /** Whether the holder gave it up before that. */
+  /** Whether the holder released the lease before it expired. */
   readonly released: boolean;
-  /** Recent holders before this one. */
+  /** Recent previous holders. */
   readonly former: readonly FormerHolder[];
   readonly notes: DutyNotes;
 }
 
-/** The row of the holding with its version in the store. */
+/** Row of the store that contains the holding. */
 export interface HoldingRow {
-  /** 0 where the row doesn't exist. */
+  /** Version of the row; 0 if it does not exist. */
   readonly version: number;
   readonly holding: Holding | null;
 }
 
-/** What instances tell each other of the holding. */
+/** Summary of the holding that instances exchange. */
 export interface HoldingNews {
   readonly instance: InstanceId;
   readonly token: number;
   readonly untilMs: number;
   readonly released: boolean;
-  /** Last window whose usage is decided; -1 before the first. */
+  /** Last window whose usage is final; -1 before the first. */
   readonly decidedThrough: number;
 }
 
-/** @returns the last window whose usage is decided; -1 before the first */
+/** @returns the last window whose usage is final; -1 before the first */
 export function decidedThrough({
   decided,
   reportedThrough,
@@ -96,7 +100,7 @@
   return decided.at(-1)?.window ?? reportedThrough ?? -1;
 }
 
-/** @returns what others are told of a holding */
+/** @returns the summary of a holding that is sent to other instances */
 export function newsOf({
   instance,
   token,
@@ -114,10 +118,10 @@
 }
 
 /**
- * Whether what is told of the holding is newer than what is known.
+ * Whether a received state of the holding is newer than the known one.
  *
- * @param told - by another instance or the store
- * @param known - null where nothing is
+ * @param told - state received from another instance or read from the store
+ * @param known - known state; null if there is none
  */
 export function isNewerHolding(
   told: HoldingNews,
--- a/packages/decisions/src/duties/LeaseState.ts
+++ b/packages/decisions/src/duties/LeaseState.ts
@@ -11,31 +11,32 @@
 } from './Holding.js';
 import { NO_NOTES } from './Holding.js';
 
-/** A conditional write of the row. */
+/** A conditional write of the holding's row. */
 export interface HoldingWrite {
-  /** Version that the row must have; 0 where it must not exist. */
+  /** Version that the row must have; 0 if it must not exist. */
   readonly expectedVersion: number;
   readonly holding: Holding;
 }
 
-/** What the owner of a lease has to do next. */
+/** Next action of the owner of a `HolderLease`. */
 export type LeaseStep =
   | { readonly kind: 'idle' }
   | { readonly kind: 'read' }
   | { readonly kind: 'write'; readonly write: HoldingWrite };
 
-/** What the next step depends on beside the lease. */
-export interface LeaseFacts {
-  /** Tells the place of this instance among the live ones, 0 first. */
+/** Inputs of the next step that are not part of the state of the lease. */
+export interface LeaseInputs {
+  /** Computes the rank of this instance among the live ones, starting at 0. */
   readonly rank: () => number;
-  /** The newest that is known of the holding; null where nothing is. */
+  /** Latest known state of the holding; null if there is none. */
   readonly news: HoldingNews | null;
-  /** What a holder wants to hand on; ignored where the lease is not held. */
+  /** Notes that the holder wants to store; ignored if the lease is not held. */
   readonly notes: DutyNotes;
-  /** Whether the instance stops, or can't do the duties any more. */
+  /** Whether the lease is to be released, because the instance stops or is unable to act. */
   readonly givesUp: boolean;
 }
 
+/** Identity and clocks of an instance that competes for the lease. */
 export interface HolderLeaseOptions {
   readonly holder: HolderId;
   readonly instance: InstanceId;
@@ -44,27 +45,34 @@
   readonly storeClock: StoreClock;
 }
 
-/** What an instance knows of the lease. Times are on its own clock but where told. */
+/**
+ * State of the lease as known to one instance. Times are in milliseconds on its own
+ * clock unless stated otherwise.
+ */
 export interface LeaseState {
   readonly startedMs: number;
-  /** The row as this instance last saw it; null before. */
+  /** The row as last read or written by this instance; null before the first read. */
   readonly row: HoldingRow | null;
   /** The store's clock when the row was read. */
   readonly readAtStoreMs: number;
-  /** Whether the row was read and not acted on yet. */
+  /** Whether the row was read and has not been acted on yet. */
   readonly isFresh: boolean;
-  /** Whether the row may have changed unseen. */
+  /** Whether the row may have changed since it was last read or written. */
   readonly mustRead: boolean;
+  /** When this instance stops acting as the holder; -Infinity if it is not the holder. */
   readonly heldUntilMs: number;
+  /** When the last accepted write was sent. */
   readonly renewedMs: number;
+  /** Fencing token of the last accepted write. */
   readonly token: number;
+  /** Whether the next write is to take a new token. */
   readonly wantsNewToken: boolean;
-  /** What the store is known to hold of the notes. */
+  /** Notes that are known to be in the store. */
   readonly confirmed: DutyNotes;
 }
 
-/** @returns what an instance knows that has just started */
-export function startedAt(startedMs: number): LeaseState {
+/** @returns the state of an instance that started at a given local time */
+export function initialLeaseState(startedMs: number): LeaseState {
   return {
     startedMs,
     row: null,
--- a/packages/decisions/src/duties/UsageCollector.ts
+++ b/packages/decisions/src/duties/UsageCollector.ts
@@ -2,31 +2,31 @@
 
 import type { WindowUsage } from './Holding.js';
 
-/** What one run of an instance counted so far. */
+/** Usage counted so far by one incarnation of an instance. */
 export interface ToldUsage {
   readonly instance: InstanceId;
-  /** Tells runs of one instance apart. */
+  /** Distinguishes successive runs of the same instance. */
   readonly incarnation: number;
-  /** Time of day up to which everything is counted, in Unix milliseconds. */
+  /** Time up to which the counts are complete, in Unix milliseconds. */
   readonly asOfMs: number;
   readonly windows: readonly WindowUsage[];
 }
 
-interface KnownRun {
+interface RunUsage {
   readonly windows: Map<number, WindowUsage>;
 }
 
 /**
- * Adds up what the instances counted.
+ * Aggregates the usage that the instances counted.
  *
- * Each tells its whole count of a window, so a message that is lost or comes twice
- * changes nothing. What an instance told stays when it is gone.
+ * Each message carries the cumulative counts of a window, so lost and duplicate messages
+ * have no effect. The counts of an instance are kept after it has stopped.
  */
 export class UsageCollector {
-  readonly #runs = new Map<string, KnownRun>();
+  readonly #runs = new Map<string, RunUsage>();
   readonly #asOfMs = new Map<InstanceId, number>();
 
-  /** Takes in what an instance tells. */
+  /** Records the usage that an instance sent. */
   onTold({ instance, incarnation, asOfMs, windows }: ToldUsage): void {
     const key = `${instance} ${incarnation}`;
     const run = this.#runs.get(key) ?? {
@@ -35,8 +35,8 @@
     this.#runs.set(key, run);
     windows.forEach(usage => {
       const known = run.windows.get(usage.window);
-      // Messages may overtake each other; counts only grow.
-      if (!known || total(usage) >= total(known)) {
+      // Messages may arrive out of order; counts never decrease.
+      if (!known || totalRequests(usage) >= totalRequests(known)) {
         run.windows.set(usage.window, usage);
       }
     });
@@ -45,10 +45,10 @@
   }
 
   /**
-   * Whether every live instance has told all that it counted before a moment.
+   * Whether every live instance has sent its complete counts up to a given time.
    *
    * @param live - live instances
-   * @param unixMs - the moment
+   * @param unixMs - the time, in Unix milliseconds
    */
   isComplete(live: readonly InstanceId[], unixMs: number): boolean {
     return live.every(
@@ -56,12 +56,12 @@
     );
   }
 
-  /** @returns the usage of one window over all instances */
+  /** @returns the usage of one window, summed over all instances */
   usageOf(window: number): WindowUsage {
     const counts = new Map<OrganisationId, number>();
     this.#runs.forEach(({ windows }) => {
-      const told = windows.get(window)?.counts ?? {};
-      Object.entries(told).forEach(([name, count]) => {
+      const counted = windows.get(window)?.counts ?? {};
+      Object.entries(counted).forEach(([name, count]) => {
         const organisation = name as OrganisationId;
         counts.set(organisation, (counts.get(organisation) ?? 0) + count);
       });
@@ -69,8 +69,12 @@
     return { window, counts: Object.fromEntries(counts) };
   }
 
-  /** Forgets windows up to one, and runs of which nothing else is known. */
-  forget(window: number): void {
+  /**
+   * Discards windows up to and including the given one, and runs that have none left.
+   *
+   * @param window - index of the last window to discard
+   */
+  discardThrough(window: number): void {
     this.#runs.forEach(({ windows }, key) => {
       [...windows.keys()]
         .filter(number => number <= window)
@@ -82,6 +86,6 @@
   }
 }
 
-function total({ counts }: WindowUsage): number {
+function totalRequests({ counts }: WindowUsage): number {
   return Object.values(counts).reduce((sum, count) => sum + count, 0);
 }
--- a/packages/decisions/src/duties/UsageLedger.ts
+++ b/packages/decisions/src/duties/UsageLedger.ts
@@ -2,48 +2,53 @@
 
 import type { WindowUsage } from './Holding.js';
 
-/** Windows that an instance keeps; older ones were reported, or never will be. */
+/** Windows that an instance keeps; older ones were reported or are too old to report. */
 const MAX_WINDOWS = 8;
 
-/** A request whose start is counted. */
+/** The part of a request that is needed to count it. */
 export interface CountedRequest {
-  /** Null on public routes, which are nobody's usage. */
+  /** Null for public routes, whose requests are not counted. */
   readonly organisation: OrganisationId | null;
 }
 
 /**
- * Counts the requests of this instance that began to run, by window.
+ * Counts the requests of this instance that started to run, by window.
  *
- * Each request counts once, however often it is tried again or resumed.
+ * Each request is counted once, however often it is retried or resumed.
  */
 export class UsageLedger {
   readonly #windows = new Map<number, Map<OrganisationId, number>>();
-  readonly #counted = new WeakSet<CountedRequest>();
+  readonly #countedRequests = new WeakSet<CountedRequest>();
 
-  /** @param windowMs - length of a window */
+  /** @param windowMs - length of a window, in milliseconds */
   constructor(readonly windowMs: number) {}
 
-  /** @returns the window of a moment in Unix milliseconds */
+  /** @returns the index of the window that contains a time in Unix milliseconds */
   windowOf(unixMs: number): number {
     return Math.floor(unixMs / this.windowMs);
   }
 
-  /** Notes that a request began to run, unless that is known. */
+  /**
+   * Counts a request that started to run, unless it was counted before.
+   *
+   * @param request - the request; compared by identity
+   * @param unixMs - when it started, in Unix milliseconds
+   */
   onBegan(request: CountedRequest, unixMs: number): void {
     const { organisation } = request;
-    if (organisation === null || this.#counted.has(request)) {
+    if (organisation === null || this.#countedRequests.has(request)) {
       return;
     }
-    this.#counted.add(request);
+    this.#countedRequests.add(request);
     const window = this.windowOf(unixMs);
     const counts =
       this.#windows.get(window) ?? new Map<OrganisationId, number>();
     counts.set(organisation, (counts.get(organisation) ?? 0) + 1);
     this.#windows.set(window, counts);
-    this.#forget();
+    this.#evictOldest();
   }
 
-  /** @returns what was counted in windows after one, oldest first */
+  /** @returns the counts of all windows after the given one, oldest first */
   since(window: number): readonly WindowUsage[] {
     return [...this.#windows]
       .filter(([number]) => number > window)
@@ -54,7 +59,7 @@
       }));
   }
 
-  #forget(): void {
+  #evictOldest(): void {
     const surplus = this.#windows.size - MAX_WINDOWS;
     [...this.#windows.keys()]
       .sort((a, b) => a - b)
--- a/packages/decisions/src/duties/decideUsage.ts
+++ b/packages/decisions/src/duties/decideUsage.ts
@@ -4,20 +4,20 @@
 import { decidedThrough } from './Holding.js';
 import type { UsageCollector } from './UsageCollector.js';
 
-/** Time after a window in which answers still tell when their requests began. */
-const SETTLE_MS = 1200;
-/** Part of the time until a report is due that is waited for instances without a sign. */
-const WAIT_SHARE = 0.5;
-/** Time in which all that live have told a new holder what they counted. */
-const HEARD_MS = 2000;
-/** Windows after which a report is of no use any more. */
-const MAX_BEHIND = 6;
+/** Time after a window in which responses may still report requests that started in it. */
+const MIN_SETTLE_MS = 1200;
+/** Share of the report's deadline for which silent instances are waited for. */
+const MAX_WAIT_SHARE = 0.5;
+/** Time in which a new holder receives the counts of all live instances. */
+const MIN_HELD_MS = 2000;
+/** Windows older than this are not reported any more. */
+const MAX_BACKLOG_WINDOWS = 6;
 
-/** What the decision on usage depends on. */
-export interface UsageFacts {
+/** Inputs of {@link decideUsage}. */
+export interface UsageInputs {
   readonly nowUnixMs: number;
   readonly windowMs: number;
-  /** Time after the end of a window in which its report is due. */
+  /** Time after the end of a window within which its report is due, in milliseconds. */
   readonly lateMs: number;
   /** How long this instance has held the duties, in milliseconds. */
   readonly heldForMs: number;
@@ -26,27 +26,31 @@
 }
 
 /**
- * Decides the usage of windows that are over.
+ * Makes the usage of the next complete window final.
  *
- * Decided once, written down and only then reported: the platform takes one count for
- * a window, and a later holder has to say the same.
+ * Usage is fixed once and stored before it is reported: the platform accepts one count
+ * per window, and a later holder must report the same one.
  *
- * @param notes - of the holder
- * @param facts - what is known now
- * @returns the notes, the same where nothing was decided
+ * @param notes - notes of the holder
+ * @param inputs - times, live instances and collected usage
+ * @returns the updated notes, or the same object if nothing has changed
  */
-export function decideUsage(notes: DutyNotes, facts: UsageFacts): DutyNotes {
-  const { nowUnixMs, windowMs, lateMs, heldForMs, live, collector } = facts;
+export function decideUsage(notes: DutyNotes, inputs: UsageInputs): DutyNotes {
+  const { nowUnixMs, windowMs, lateMs, heldForMs, live, collector } = inputs;
   const current = Math.floor(nowUnixMs / windowMs);
   if (notes.reportedThrough === null) {
     return { ...notes, reportedThrough: current - 1 };
   }
-  const window = Math.max(decidedThrough(notes) + 1, current - MAX_BEHIND);
+  const window = Math.max(
+    decidedThrough(notes) + 1,
+    current - MAX_BACKLOG_WINDOWS,
+  );
   const sinceEndMs = nowUnixMs - (window + 1) * windowMs;
-  // A new holder knows nothing yet of what the one before was told.
-  const hasWaited = sinceEndMs >= WAIT_SHARE * lateMs && heldForMs >= HEARD_MS;
+  // A new holder does not have the counts that were sent to its predecessor.
+  const hasWaited =
+    sinceEndMs >= MAX_WAIT_SHARE * lateMs && heldForMs >= MIN_HELD_MS;
   const isSettled =
-    sinceEndMs >= SETTLE_MS &&
+    sinceEndMs >= MIN_SETTLE_MS &&
     (hasWaited || collector.isComplete(live, nowUnixMs - sinceEndMs));
   return isSettled
     ? { ...notes, decided: [...notes.decided, collector.usageOf(window)] }
@@ -54,10 +58,11 @@
 }
 
 /**
- * Notes that the usage of a window was reported.
+ * Marks the usage of a window as reported.
  *
- * @param notes - of the holder
- * @param window - that the platform has accepted
+ * @param notes - notes of the holder
+ * @param window - window whose report the platform has accepted
+ * @returns the notes without the reported usage
  */
 export function withReported(notes: DutyNotes, window: number): DutyNotes {
   return {
--- a/packages/decisions/src/duties/index.ts
+++ b/packages/decisions/src/duties/index.ts
@@ -1,4 +1,4 @@
-export type { UsageFacts } from './decideUsage.js';
+export type { UsageInputs } from './decideUsage.js';
 export { decideUsage, withReported } from './decideUsage.js';
 export type { DutyBoard, DutySettings } from './DutyBoard.js';
 export { createDutyBoard, deputyOf, noteHolding } from './DutyBoard.js';
@@ -16,7 +16,7 @@
 export { newsOf, NO_NOTES } from './Holding.js';
 export type {
   HoldingWrite,
-  LeaseFacts,
+  LeaseInputs,
   LeaseState,
   LeaseStep,
 } from './LeaseState.js';
@@ -24,7 +24,7 @@
 export { parseHolding } from './parseHolding.js';
 export type { CapacityOptions } from './scaling/CapacityNeed.js';
 export { CapacityNeed, DEFAULT_CAPACITY } from './scaling/CapacityNeed.js';
-export type { PlanFacts, ReplicaPlan } from './scaling/planReplicas.js';
+export type { PlanInputs, ReplicaPlan } from './scaling/planReplicas.js';
 export { planReplicas, stepTowards } from './scaling/planReplicas.js';
 export type { ReplicaCensus } from './scaling/replicaCensus.js';
 export {
@@ -32,7 +32,7 @@
   lastingInAll,
   replicaCensus,
 } from './scaling/replicaCensus.js';
-export type { OrderFacts } from './scaling/ReplicaOrders.js';
+export type { OrderInputs } from './scaling/ReplicaOrders.js';
 export { ReplicaOrders } from './scaling/ReplicaOrders.js';
 export type { ToldUsage } from './UsageCollector.js';
 export { UsageCollector } from './UsageCollector.js';
--- a/packages/decisions/src/duties/parseHolding.ts
+++ b/packages/decisions/src/duties/parseHolding.ts
@@ -30,15 +30,15 @@
 });
 
 /**
- * Reads a holding as it lies in a store.
+ * Validates the stored form of a holding.
  *
- * @param content - of its row, parsed; null where there is none
- * @returns the holding; null where there is none
- * @throws ZodError where it is no holding
+ * @param content - parsed JSON content of the row; null if there is no row
+ * @returns the holding; null if there is no row
+ * @throws ZodError if the content is not a valid holding
  */
 export function parseHolding(content: unknown): Holding | null {
   return content === null
     ? null
-    : // Ids have no form of their own; whoever wrote the row knew them.
+    : // Branded ids are plain strings; the writer of the row ensured that they exist.
       (holdingSchema.parse(content) as unknown as Holding);
 }
--- a/packages/decisions/src/duties/scaling/CapacityNeed.ts
+++ b/packages/decisions/src/duties/scaling/CapacityNeed.ts
@@ -1,12 +1,12 @@
 import type { Clock } from '../../blackboard/Blackboard.js';
 
-/** How much of the slots of a service should be in use. */
+/** Parameters of the capacity estimate. */
 export interface CapacityOptions {
-  /** Part of the slots that the peak of the load should take. */
+  /** Share of the slots that should be in use at peak load, between 0 and 1. */
   readonly targetUse: number;
   /** Time for which a peak counts in full, in milliseconds. */
   readonly holdMs: number;
-  /** Time in which what is needed shrinks to a third without load. */
+  /** Time constant of the exponential decay after that, in milliseconds. */
   readonly decayMs: number;
 }
 
@@ -16,63 +16,63 @@
   decayMs: 30_000,
 };
 
-/** The load of a service at one moment. */
+/** Load of a service at one point in time. */
 export interface ServiceLoad {
-  /** Requests that run or wait at its replicas. */
+  /** Requests that run or wait on its replicas. */
   readonly inFlight: number;
   /** Slots of one replica. */
   readonly slots: number;
-  /** Replicas that may be ordered at most. */
+  /** Maximum number of replicas that may be ordered. */
   readonly most: number;
 }
 
 /**
- * Estimates how many replicas a service needs for its peaks.
+ * Estimates how many replicas a service needs at peak load.
  *
- * Demand comes in bursts that are over before a replica has started, so what the last
- * peak needed is kept, and given up slowly. Before any load was seen, what stands is
- * what its operators thought right.
+ * Demand arrives in bursts that end before a new replica has started, so the need of
+ * the last peak is held and then decays slowly. Until the first load is observed, the
+ * initial number of replicas is kept, since the operators chose it.
  */
 export class CapacityNeed {
   #need: number;
   #peakMs = -Infinity;
-  #seenMs = -Infinity;
+  #observedMs = -Infinity;
 
   /**
-   * @param before - replicas that were needed before this instance looked
+   * @param initial - number of replicas needed before the first observation
    * @param clock - local time
-   * @param options - how much of them should be in use
+   * @param options - parameters of the estimate
    */
   constructor(
-    before: number,
+    initial: number,
     private readonly clock: Clock,
     private readonly options: CapacityOptions = DEFAULT_CAPACITY,
   ) {
-    this.#need = before;
+    this.#need = initial;
   }
 
-  /** Replicas that are needed, as last seen. */
+  /** Number of replicas needed as of the last observation; may be fractional. */
   get replicas(): number {
     return this.#need;
   }
 
   /**
-   * Takes in the load of this moment.
+   * Updates the estimate with the current load.
    *
-   * @returns replicas that are needed
+   * @returns number of replicas needed; may be fractional
    */
   observe({ inFlight, slots, most }: ServiceLoad): number {
     const { targetUse, holdMs, decayMs } = this.options;
     const nowMs = this.clock();
     const now = Math.min(most, inFlight / (Math.max(1, slots) * targetUse));
-    const before = this.#need;
-    const sinceMs = nowMs - this.#seenMs;
-    this.#seenMs = nowMs;
+    const previous = this.#need;
+    const sinceMs = nowMs - this.#observedMs;
+    this.#observedMs = nowMs;
     const isHeld = inFlight === 0 || nowMs - this.#peakMs < holdMs;
     const kept =
       isHeld || sinceMs > holdMs
-        ? before
-        : before * Math.exp(-sinceMs / decayMs);
+        ? previous
+        : previous * Math.exp(-sinceMs / decayMs);
     const isFirst = this.#peakMs === -Infinity;
     if (inFlight > 0 && (now >= kept || isFirst)) {
       this.#peakMs = nowMs;
--- a/packages/decisions/src/duties/scaling/ReplicaOrders.ts
+++ b/packages/decisions/src/duties/scaling/ReplicaOrders.ts
@@ -9,32 +9,33 @@
 import type { ReplicaPlan } from './planReplicas.js';
 import { planReplicas, stepTowards } from './planReplicas.js';
 import type { ReplicaCensus, ReplicaKind } from './replicaCensus.js';
-import { growthOf, kindOfOrder, standingOf } from './replicaCensus.js';
-
-/** Time for which a failure domain counts as having none after it said so. */
-const DRY_MS = 1500;
-/** Time beyond the start of a replica after which what is missing is ordered again. */
-const AGAIN_AFTER_MS = 500;
-/** Time for which fewer must be wanted while there is load, in milliseconds. */
-const DECREASE_AFTER_MS = 8000;
-/** Replicas of a kind that a failure domain gives back at once while there is load. */
-const MAX_FEWER = 3;
-/** Time until it gives back more, in milliseconds. */
-const FEWER_EVERY_MS = 2000;
-/** Part of the replicas by which an order has to change to make less of them. */
+import { growthOf, orderedKind, activeFor } from './replicaCensus.js';
+
+/** Time for which a failure domain counts as out of capacity after it refused an order. */
+const UNAVAILABLE_MS = 1500;
+/** Time beyond the boot time of a replica after which a missing replica is reordered. */
+const REORDER_DELAY_MS = 500;
+/** Time for which a surplus must last previousCount replicas are released under load. */
+const DECREASE_DELAY_MS = 8000;
+/** Replicas of one kind that a failure domain releases at once under load. */
+const MAX_DECREASE_STEP = 3;
+/** Minimum time between two such releases. */
+const DECREASE_INTERVAL_MS = 2000;
+/** Minimum share of the ordered replicas that a decrease under load has to release. */
 const MIN_DECREASE_SHARE = 0.15;
 
-/** What orders of one service depend on. */
-export interface OrderFacts {
+/** Inputs of the orders for one service. */
+export interface OrderInputs {
   readonly service: ServiceId;
   readonly scaling: ReplicaScaling;
   readonly census: ReplicaCensus;
+  /** Number of replicas that the load needs. */
   readonly need: number;
-  /** Whether there is no load; then nothing is cut off where replicas are given back. */
+  /** Whether there is no load, so that releasing replicas interrupts no request. */
   readonly isIdle: boolean;
 }
 
-interface PlacedOrder {
+interface AcceptedOrder {
   readonly order: ReplicaOrder;
   readonly atMs: number;
 }
@@ -47,68 +48,71 @@
   return `${service} ${domain} ${kind}`;
 }
 
-/** Names what an order is about, whatever the count. */
-function subjectOf(order: ReplicaOrder): string {
-  return keyOf(order.service, order.failureDomain, kindOfOrder(order));
+/** Identifies the service, failure domain and kind of an order, but not its count. */
+function orderKeyOf(order: ReplicaOrder): string {
+  return keyOf(order.service, order.failureDomain, orderedKind(order));
 }
 
 const KINDS: readonly ReplicaKind[] = ['spot', 'lasting'];
 
-/** Decides which orders of replicas go out, and remembers those in force. */
+/** Decides which replica orders to send and keeps track of the accepted ones. */
 export class ReplicaOrders {
-  readonly #placed = new Map<string, PlacedOrder>();
-  readonly #dryUntilMs = new Map<string, number>();
-  /** Since when fewer than ordered are wanted. */
-  readonly #fewerSinceMs = new Map<string, number>();
+  readonly #accepted = new Map<string, AcceptedOrder>();
+  readonly #unavailableUntilMs = new Map<string, number>();
+  /** Since when fewer replicas than ordered are wanted. */
+  readonly #surplusSinceMs = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** The orders in force, for the next holder. */
+  /** Accepted orders in force, to be passed on to the next holder. */
   get inForce(): readonly ReplicaOrder[] {
-    return [...this.#placed.values()].map(({ order }) => order);
+    return [...this.#accepted.values()].map(({ order }) => order);
   }
 
-  /** Goes on with the orders of the holder before. */
+  /** Replaces the accepted orders by those of the previous holder. */
   takeOver(orders: readonly ReplicaOrder[]): void {
-    this.#placed.clear();
+    this.#accepted.clear();
     orders.forEach(order => {
       this.onAccepted(order);
     });
   }
 
-  /** @returns orders that should go out now, those for more replicas first */
-  due(facts: OrderFacts): readonly ReplicaOrder[] {
-    const { service, scaling, census, need } = facts;
-    const planFacts = {
+  /** @returns orders to send now, largest increase first */
+  due(inputs: OrderInputs): readonly ReplicaOrder[] {
+    const { service, scaling, census, need } = inputs;
+    const planInputs = {
       scaling,
       census,
       need,
-      isDry: (domain: FailureDomainId): boolean =>
-        this.#isDry(keyOf(service, domain, 'spot')),
+      isSpotUnavailable: (domain: FailureDomainId): boolean =>
+        this.#isUnavailable(keyOf(service, domain, 'spot')),
     };
-    const plan = stepTowards(planFacts, planReplicas(planFacts));
-    return this.#changes(facts, plan).sort(
+    const plan = stepTowards(planInputs, planReplicas(planInputs));
+    return this.#changedOrders(inputs, plan).sort(
       (a, b) => growthOf(b, census) - growthOf(a, census),
     );
   }
 
-  /** Notes that an order was accepted. */
+  /** Records that the platform accepted an order. */
   onAccepted(order: ReplicaOrder): void {
-    this.#placed.set(subjectOf(order), { order, atMs: this.clock() });
+    this.#accepted.set(orderKeyOf(order), { order, atMs: this.clock() });
   }
 
-  /** Notes that replicas of an order are nowhere to be had in its failure domain. */
+  /** Records that the failure domain of an order is out of replicas of its kind. */
   onNoneLeft(order: ReplicaOrder): void {
-    this.#dryUntilMs.set(subjectOf(order), this.clock() + DRY_MS);
+    this.#unavailableUntilMs.set(
+      orderKeyOf(order),
+      this.clock() + UNAVAILABLE_MS,
+    );
   }
 
-  #isDry(key: string): boolean {
-    const untilMs = this.#dryUntilMs.get(key);
+  #isUnavailable(key: string): boolean {
+    const untilMs = this.#unavailableUntilMs.get(key);
     return untilMs !== undefined && this.clock() < untilMs;
   }
 
-  #changes(facts: OrderFacts, plan: ReplicaPlan): ReplicaOrder[] {
-    const { service } = facts;
+  #changedOrders(inputs: OrderInputs, plan: ReplicaPlan): ReplicaOrder[] {
+    const { service } = inputs;
     return [...plan].flatMap(([failureDomain, wanted]) =>
       KINDS.map(kind => ({
         service,
@@ -116,66 +120,75 @@
         spot: kind === 'spot',
         count: wanted[kind],
       }))
-        .filter(order => !this.#isDry(subjectOf(order)))
-        .filter(order => this.#isDue(order, facts))
-        .map(order => this.#gently(order, facts)),
+        .filter(order => !this.#isUnavailable(orderKeyOf(order)))
+        .filter(order => this.#isDue(order, inputs))
+        .map(order => this.#limitDecrease(order, inputs)),
     );
   }
 
-  #isDue(order: ReplicaOrder, facts: OrderFacts): boolean {
-    const { census, scaling } = facts;
-    const standing = standingOf(order, census);
-    const key = subjectOf(order);
-    const placed = this.#placed.get(key);
-    const before = placed?.order.count ?? standing;
-    if (order.count < before && order.count < standing) {
-      return this.#isDecreaseDue(key, before - order.count, before, facts);
+  #isDue(order: ReplicaOrder, inputs: OrderInputs): boolean {
+    const { census, scaling } = inputs;
+    const active = activeFor(order, census);
+    const key = orderKeyOf(order);
+    const accepted = this.#accepted.get(key);
+    const previousCount = accepted?.order.count ?? active;
+    if (order.count < previousCount && order.count < active) {
+      return this.#isDecreaseDue(
+        key,
+        previousCount - order.count,
+        previousCount,
+        inputs,
+      );
     }
-    this.#fewerSinceMs.delete(key);
-    if (order.count > before) {
+    this.#surplusSinceMs.delete(key);
+    if (order.count > previousCount) {
       return true;
     }
-    // What was reclaimed, crashed or never came is ordered once more.
+    // Replaces replicas that were reclaimed, crashed or never started.
     return (
-      placed !== undefined &&
-      standing < order.count &&
-      this.clock() - placed.atMs > scaling.bootMs + AGAIN_AFTER_MS
+      accepted !== undefined &&
+      active < order.count &&
+      this.clock() - accepted.atMs > scaling.bootMs + REORDER_DELAY_MS
     );
   }
 
   /**
-   * Gives back a few at a time while there is load.
+   * Limits how many replicas are released at a time under load.
    *
-   * Guards against leaves of dozens of replicas within milliseconds, which all instances
-   * have to learn of at once, and against answers that are cut off together.
+   * Guards against dozens of replicas leaving within milliseconds: every instance would
+   * have to learn of all of them at once, and many responses would be cut off together.
    */
-  #gently(order: ReplicaOrder, { census, isIdle }: OrderFacts): ReplicaOrder {
-    const standing = standingOf(order, census);
-    return isIdle || order.count >= standing
+  #limitDecrease(
+    order: ReplicaOrder,
+    { census, isIdle }: OrderInputs,
+  ): ReplicaOrder {
+    const active = activeFor(order, census);
+    return isIdle || order.count >= active
       ? order
-      : { ...order, count: Math.max(order.count, standing - MAX_FEWER) };
+      : { ...order, count: Math.max(order.count, active - MAX_DECREASE_STEP) };
   }
 
   /**
-   * Whether replicas are to be given back now.
+   * Whether replicas are to be released now.
    *
-   * What runs there longest is cut off, and the next burst may need them again.
+   * Under load, a release waits because it cuts off the longest-running requests and
+   * because the next burst may need the replicas again.
    */
   #isDecreaseDue(
     key: string,
-    lessBy: number,
-    before: number,
-    { isIdle }: OrderFacts,
+    decrease: number,
+    previousCount: number,
+    { isIdle }: OrderInputs,
   ): boolean {
     if (isIdle) {
       return true;
     }
-    const sinceMs = this.#fewerSinceMs.get(key) ?? this.clock();
-    this.#fewerSinceMs.set(key, sinceMs);
+    const sinceMs = this.#surplusSinceMs.get(key) ?? this.clock();
+    this.#surplusSinceMs.set(key, sinceMs);
     const isWanted =
-      lessBy > MIN_DECREASE_SHARE * before &&
-      this.clock() - sinceMs >= DECREASE_AFTER_MS;
-    const placedMs = this.#placed.get(key)?.atMs ?? -Infinity;
-    return isWanted && this.clock() - placedMs >= FEWER_EVERY_MS;
+      decrease > MIN_DECREASE_SHARE * previousCount &&
+      this.clock() - sinceMs >= DECREASE_DELAY_MS;
+    const acceptedMs = this.#accepted.get(key)?.atMs ?? -Infinity;
+    return isWanted && this.clock() - acceptedMs >= DECREASE_INTERVAL_MS;
   }
 }
--- a/packages/decisions/src/duties/scaling/planReplicas.ts
+++ b/packages/decisions/src/duties/scaling/planReplicas.ts
@@ -1,70 +1,81 @@
 import type { FailureDomainId, ReplicaScaling } from '@jujubecroft/types';
 
-import type { ReplicaCensus, StandingReplicas } from './replicaCensus.js';
-import { standingIn, standingInAll } from './replicaCensus.js';
+import type { ReplicaCensus, ActiveReplicas } from './replicaCensus.js';
+import { activeIn, totalActive } from './replicaCensus.js';
 
-/** How replicas of both kinds are mixed. */
+/** Ratio of on-demand (`lasting`) and spot replicas. */
 export interface MixOptions {
-  /** Part of what is needed that nobody can reclaim. */
+  /** Share of the need that is covered by on-demand replicas. */
   readonly lastingShare: number;
-  /** How many times what is needed stands ready in cheap ones, beside their cover. */
+  /**
+   * Spot replicas to keep per spot replica needed, before the reserve for the loss of a
+   * failure domain.
+   */
   readonly spotHeadroom: number;
 }
 
 export const DEFAULT_MIX: MixOptions = { lastingShare: 0.2, spotHeadroom: 1.6 };
 
-/** What a plan is made from. */
-export interface PlanFacts {
+/** Inputs of a replica plan. */
+export interface PlanInputs {
   readonly scaling: ReplicaScaling;
   readonly census: ReplicaCensus;
-  /** Replicas that the load needs. */
+  /** Number of replicas that the load needs. */
   readonly need: number;
-  /** Whether a failure domain has no cheap ones now. */
-  readonly isDry: (domain: FailureDomainId) => boolean;
+  /** Whether a failure domain currently has no spot replicas to offer. */
+  readonly isSpotUnavailable: (domain: FailureDomainId) => boolean;
 }
 
-/** Replicas that should stand, by failure domain. */
-export type ReplicaPlan = ReadonlyMap<FailureDomainId, StandingReplicas>;
+/** Desired number of replicas, by failure domain. */
+export type ReplicaPlan = ReadonlyMap<FailureDomainId, ActiveReplicas>;
 
-/** Shares a number out by weight, in whole numbers and up to a bound for each. */
+/**
+ * Distributes replicas over failure domains in proportion to their weights.
+ *
+ * @param total - number of replicas; rounded up
+ * @param domains - failure domains to distribute them over
+ * @param weightOf - relative weight of a failure domain
+ * @param mostIn - maximum number of replicas in a failure domain
+ * @returns whole numbers by failure domain; replicas that exceed all maxima are dropped
+ */
 function allocate(
   total: number,
   domains: readonly FailureDomainId[],
   weightOf: (domain: FailureDomainId) => number,
   mostIn: (domain: FailureDomainId) => number,
 ): ReadonlyMap<FailureDomainId, number> {
-  const given = new Map(domains.map(domain => [domain, 0]));
+  const allocated = new Map(domains.map(domain => [domain, 0]));
   const roomIn = (domain: FailureDomainId): number =>
-    mostIn(domain) - (given.get(domain) ?? 0);
+    mostIn(domain) - (allocated.get(domain) ?? 0);
   Array.from({ length: Math.max(0, Math.ceil(total)) }).forEach(() => {
     const [next] = domains
       .filter(domain => roomIn(domain) >= 1)
       .map(domain => ({
         domain,
-        filled: ((given.get(domain) ?? 0) + 1) / weightOf(domain),
+        filled: ((allocated.get(domain) ?? 0) + 1) / weightOf(domain),
       }))
       .sort((a, b) => a.filled - b.filled);
     if (next) {
-      given.set(next.domain, (given.get(next.domain) ?? 0) + 1);
+      allocated.set(next.domain, (allocated.get(next.domain) ?? 0) + 1);
     }
   });
-  return given;
+  return allocated;
 }
 
 /**
- * Plans how many replicas of each kind should stand in each failure domain.
+ * Plans how many replicas of each kind each failure domain should have.
  *
- * A part that lasts is kept for what is most urgent. The rest are cheap ones that may
- * be reclaimed, those of a whole failure domain at once, so there are enough of them
- * that what the others hold is still what is needed. Where cheap ones are nowhere to be
- * had and too few stand, others take their place.
+ * A share of on-demand (`lasting`) replicas is kept for the most urgent requests. The
+ * rest are spot replicas. All spot replicas of a failure domain may be reclaimed at
+ * once, so there are enough of them for the remaining domains to cover the need. Where
+ * spot replicas are unavailable and too few are active, on-demand replicas replace them.
  *
- * @param facts - need, prices, bounds and what stands
- * @param mix - of the kinds
- * @returns the plan; all of them last where no cheap ones are offered
+ * @param inputs - need, prices, bounds and active replicas
+ * @param mix - ratio of the two kinds
+ * @returns the plan; on-demand replicas only if the service has no spot price
  */
 export function planReplicas(
-  { scaling, need, census, isDry }: PlanFacts,
+  { scaling, need, census, isSpotUnavailable }: PlanInputs,
   mix: MixOptions = DEFAULT_MIX,
 ): ReplicaPlan {
   const { domainPrices, minReplicas, maxReplicas, spotPrice } = scaling;
@@ -72,24 +83,30 @@
   const weightOf = (domain: FailureDomainId): number =>
     1 / Math.max(0.01, domainPrices[domain] ?? 1);
   const lastingNeed = spotPrice === null ? need : mix.lastingShare * need;
-  const usual = allocate(lastingNeed, domains, weightOf, () => maxReplicas);
-  const open = domains.filter(domain => !isDry(domain));
+  const defaultLasting = allocate(
+    lastingNeed,
+    domains,
+    weightOf,
+    () => maxReplicas,
+  );
+  const available = domains.filter(domain => !isSpotUnavailable(domain));
   const cover = domains.length > 1 ? domains.length / (domains.length - 1) : 1;
   const spotNeed =
     spotPrice === null ? 0 : mix.spotHeadroom * cover * (need - lastingNeed);
   const spot = allocate(
     spotNeed,
-    open,
+    available,
     weightOf,
-    domain => maxReplicas - Math.max(minReplicas, usual.get(domain) ?? 0),
+    domain =>
+      maxReplicas - Math.max(minReplicas, defaultLasting.get(domain) ?? 0),
   );
-  // Where no cheap ones are to be had, what stands of them is all that there is.
+  // Where spot replicas are unavailable, only the active ones count.
   const spotIn = (domain: FailureDomainId): number =>
-    open.includes(domain)
+    available.includes(domain)
       ? (spot.get(domain) ?? 0)
-      : standingIn(census, domain).spot;
+      : activeIn(census, domain).spot;
   const spotTotal = domains.reduce((sum, domain) => sum + spotIn(domain), 0);
-  const isShort = open.length < domains.length && spotPrice !== null;
+  const isShort = available.length < domains.length && spotPrice !== null;
   const lasting = isShort
     ? allocate(
         Math.max(lastingNeed, need - spotTotal),
@@ -97,41 +114,47 @@
         weightOf,
         domain => maxReplicas - spotIn(domain),
       )
-    : usual;
+    : defaultLasting;
   return new Map(
     domains.map(domain => {
-      const cheap = spotIn(domain);
-      const atLeast = Math.max(0, minReplicas - cheap);
+      const spotHere = spotIn(domain);
+      const minLasting = Math.max(0, minReplicas - spotHere);
       return [
         domain,
-        { lasting: Math.max(atLeast, lasting.get(domain) ?? 0), spot: cheap },
+        {
+          lasting: Math.max(minLasting, lasting.get(domain) ?? 0),
+          spot: spotHere,
+        },
       ];
     }),
   );
 }
 
 /**
- * The next step from what stands towards a plan.
+ * Computes the next step from the active replicas towards a plan.
  *
- * More come at once, as far as the bounds leave room. What lasts is given back only
- * where those that stand without it are still what is needed.
+ * Increases are made at once, as far as the bounds allow. On-demand (`lasting`) replicas
+ * are released only as far as the remaining active replicas still cover the need.
  *
- * @param facts - need, bounds and what stands
- * @param plan - where to
- * @returns replicas to order now
+ * @param inputs - need, bounds and active replicas
+ * @param plan - target of the step
+ * @returns numbers of replicas to order now
  */
-export function stepTowards(facts: PlanFacts, plan: ReplicaPlan): ReplicaPlan {
-  const { census, need, scaling } = facts;
+export function stepTowards(
+  inputs: PlanInputs,
+  plan: ReplicaPlan,
+): ReplicaPlan {
+  const { census, need, scaling } = inputs;
   const { maxReplicas, minReplicas } = scaling;
-  let spare = Math.max(0, Math.floor(standingInAll(census) - need));
+  let spare = Math.max(0, Math.floor(totalActive(census) - need));
   return new Map(
     [...plan].map(([domain, wanted]) => {
-      const { lasting, spot } = standingIn(census, domain);
+      const { lasting, spot } = activeIn(census, domain);
       const surplus = Math.max(0, lasting - wanted.lasting);
       const isBelowMin = lasting + spot - surplus < minReplicas;
-      const back = isBelowMin ? 0 : Math.min(surplus, spare);
-      spare -= back;
-      const lastingNext = Math.max(wanted.lasting, lasting - back);
+      const releasable = isBelowMin ? 0 : Math.min(surplus, spare);
+      spare -= releasable;
+      const lastingNext = Math.max(wanted.lasting, lasting - releasable);
       const roomForSpot = maxReplicas - Math.max(lasting, lastingNext);
       return [
         domain,
--- a/packages/decisions/src/duties/scaling/replicaCensus.ts
+++ b/packages/decisions/src/duties/scaling/replicaCensus.ts
@@ -2,34 +2,41 @@
 
 import type { ReplicaOrder } from '../Holding.js';
 
-/** Replicas of a service in one failure domain that are not leaving. */
-export interface StandingReplicas {
-  /** Those that stay until they are given back. */
+/** Replicas of a service in one failure domain, without those that are leaving. */
+export interface ActiveReplicas {
+  /** On-demand replicas, which stay until they are released. */
   readonly lasting: number;
-  /** Cheap ones that may be reclaimed. */
+  /** Spot replicas, which cost less and may be reclaimed by the platform. */
   readonly spot: number;
 }
 
-/** Kinds of replicas that are ordered apart from each other. */
-export type ReplicaKind = keyof StandingReplicas;
+/** Kinds of replicas; each is ordered separately. */
+export type ReplicaKind = keyof ActiveReplicas;
 
-/** Standing replicas by failure domain. */
-export type ReplicaCensus = ReadonlyMap<FailureDomainId, StandingReplicas>;
+/** Active replicas of a service, by failure domain. */
+export type ReplicaCensus = ReadonlyMap<FailureDomainId, ActiveReplicas>;
 
-const NONE: StandingReplicas = { lasting: 0, spot: 0 };
+const NONE: ActiveReplicas = { lasting: 0, spot: 0 };
 
-/** @returns how many replicas of a service stand in each of some failure domains */
+/**
+ * Counts the active replicas of a service.
+ *
+ * @param replicas - replicas of all services
+ * @param service - service to count
+ * @param domains - failure domains to count in
+ * @returns the counts of each of the given failure domains
+ */
 export function replicaCensus(
   replicas: readonly Replica[],
   service: ServiceId,
   domains: readonly FailureDomainId[],
 ): ReplicaCensus {
-  const standing = replicas.filter(
+  const active = replicas.filter(
     replica => replica.service === service && !replica.leaving,
   );
   return new Map(
     domains.map(domain => {
-      const here = standing.filter(
+      const here = active.filter(
         ({ failureDomain }) => failureDomain === domain,
       );
       const spot = here.filter(replica => replica.spot === true).length;
@@ -38,38 +45,38 @@
   );
 }
 
-/** @returns the replicas of a failure domain; none where it is not in the census */
-export function standingIn(
+/** @returns active replicas of a failure domain; zero if it is not in the census */
+export function activeIn(
   census: ReplicaCensus,
   domain: FailureDomainId,
-): StandingReplicas {
+): ActiveReplicas {
   return census.get(domain) ?? NONE;
 }
 
-/** @returns replicas that nobody can reclaim, over all failure domains */
+/** @returns number of active on-demand replicas in all failure domains */
 export function lastingInAll(census: ReplicaCensus): number {
   return [...census.values()].reduce((sum, { lasting }) => sum + lasting, 0);
 }
 
-/** @returns replicas over all failure domains */
-export function standingInAll(census: ReplicaCensus): number {
+/** @returns number of active replicas of both kinds in all failure domains */
+export function totalActive(census: ReplicaCensus): number {
   return [...census.values()].reduce(
     (sum, { lasting, spot }) => sum + lasting + spot,
     0,
   );
 }
 
-/** @returns the kind of replicas that an order is about */
-export function kindOfOrder({ spot }: ReplicaOrder): ReplicaKind {
+/** @returns the kind of replicas that an order asks for */
+export function orderedKind({ spot }: ReplicaOrder): ReplicaKind {
   return spot ? 'spot' : 'lasting';
 }
 
-/** @returns replicas that stand of what an order is about */
-export function standingOf(order: ReplicaOrder, census: ReplicaCensus): number {
-  return standingIn(census, order.failureDomain)[kindOfOrder(order)];
+/** @returns number of active replicas with the kind and failure domain of an order */
+export function activeFor(order: ReplicaOrder, census: ReplicaCensus): number {
+  return activeIn(census, order.failureDomain)[orderedKind(order)];
 }
 
-/** @returns replicas that an order adds to what stands; negative where it takes some */
+/** @returns replicas that an order adds to the active ones; negative for a release */
 export function growthOf(order: ReplicaOrder, census: ReplicaCensus): number {
-  return order.count - standingOf(order, census);
+  return order.count - activeFor(order, census);
 }
--- a/packages/decisions/src/estimators/LengthEstimator.ts
+++ b/packages/decisions/src/estimators/LengthEstimator.ts
@@ -3,11 +3,11 @@
 import type { ClassId, OrganisationId } from '@jujubecroft/types';
 
 const WINDOW_SAMPLES = 512;
-const REFRESH_SAMPLES = 16;
+const REFRESH_EVERY_SAMPLES = 16;
 const MIN_SAMPLES = 8;
 const MAX_TOKENS = 1_000_000;
 const SIGNIFICANT_DIGITS = 2;
-const PRIOR_TOKENS = 200;
+const DEFAULT_MEAN_TOKENS = 200;
 
 /** Answer-length estimate in tokens. */
 export interface LengthEstimate {
@@ -15,10 +15,10 @@
   readonly p90: number;
 }
 
-interface Window {
+interface SampleWindow {
   current: Histogram;
   previous: Histogram | null;
-  seen: number;
+  sampleCount: number;
   estimate: LengthEstimate | null;
 }
 
@@ -31,7 +31,7 @@
   });
 }
 
-function estimateOf(window: Window): LengthEstimate {
+function estimateOf(window: SampleWindow): LengthEstimate {
   const merged = newHistogram();
   merged.add(window.current);
   if (window.previous) {
@@ -47,7 +47,7 @@
  * of behaviour within one window of samples.
  */
 export class LengthEstimator {
-  readonly #windows = new Map<string, Window>();
+  readonly #windows = new Map<string, SampleWindow>();
 
   /**
    * Records the length of a whole answer.
@@ -62,8 +62,8 @@
     tokens: number,
   ): void {
     const value = Math.min(MAX_TOKENS, Math.max(1, Math.round(tokens)));
-    this.#recordOne(requestClass, value);
-    this.#recordOne(`${requestClass}/${organisation}`, value);
+    this.#recordSample(requestClass, value);
+    this.#recordSample(`${requestClass}/${organisation}`, value);
   }
 
   /**
@@ -83,34 +83,37 @@
       this.#windows.get(`${requestClass}/${organisation}`)?.estimate ??
       this.#windows.get(requestClass)?.estimate;
     const { mean, p90 } = learnt ?? {
-      mean: PRIOR_TOKENS,
-      p90: 2 * PRIOR_TOKENS,
+      mean: DEFAULT_MEAN_TOKENS,
+      p90: 2 * DEFAULT_MEAN_TOKENS,
     };
     return { mean: Math.min(mean, maxTokens), p90: Math.min(p90, maxTokens) };
   }
 
-  #recordOne(key: string, value: number): void {
+  #recordSample(key: string, value: number): void {
     const window = this.#windowOf(key);
     window.current.recordValue(value);
-    window.seen += 1;
-    if (window.seen >= MIN_SAMPLES && window.seen % REFRESH_SAMPLES === 0) {
+    window.sampleCount += 1;
+    if (
+      window.sampleCount >= MIN_SAMPLES &&
+      window.sampleCount % REFRESH_EVERY_SAMPLES === 0
+    ) {
       window.estimate = estimateOf(window);
     }
-    if (window.seen % WINDOW_SAMPLES === 0) {
+    if (window.sampleCount % WINDOW_SAMPLES === 0) {
       window.previous = window.current;
       window.current = newHistogram();
     }
   }
 
-  #windowOf(key: string): Window {
+  #windowOf(key: string): SampleWindow {
     const known = this.#windows.get(key);
     if (known) {
       return known;
     }
-    const window: Window = {
+    const window: SampleWindow = {
       current: newHistogram(),
       previous: null,
-      seen: 0,
+      sampleCount: 0,
       estimate: null,
     };
     this.#windows.set(key, window);
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -51,7 +51,7 @@
 } from './membership/Membership.js';
 export { DEFAULT_MEMBERSHIP, Membership } from './membership/Membership.js';
 export type {
-  OpenQuestion,
+  OutstandingProbe,
   PeerProbeOptions,
 } from './membership/PeerProbes.js';
 export { PeerProbes } from './membership/PeerProbes.js';
--- a/packages/decisions/src/membership/MemberNews.ts
+++ b/packages/decisions/src/membership/GossipQueue.ts
@@ -4,9 +4,9 @@
 import type { Member, MemberFact } from './Member.js';
 
 /** Heartbeats that carry one piece of news at least, however small the fleet. */
-const MIN_REPEATS = 4;
+const MIN_TRANSMISSIONS = 4;
 
-interface News {
+interface PendingFact {
   readonly fact: MemberFact;
   left: number;
 }
@@ -25,8 +25,8 @@
 }
 
 /** What heartbeats tell of other members: changes first, then whoever serves. */
-export class MemberNews {
-  readonly #news = new Map<InstanceId, News>();
+export class GossipQueue {
+  readonly #pending = new Map<InstanceId, PendingFact>();
 
   /**
    * @param random - draws from [0, 1)
@@ -43,11 +43,11 @@
    * @param member - that changed
    * @param fleet - instances, this one included
    */
-  onChange(member: Member, fleet: number): void {
+  enqueue(member: Member, fleet: number): void {
     const size = Math.max(2, fleet);
-    this.#news.set(member.id, {
+    this.#pending.set(member.id, {
       fact: factOf(member),
-      left: MIN_REPEATS + Math.ceil(2 * Math.log2(size)),
+      left: MIN_TRANSMISSIONS + Math.ceil(2 * Math.log2(size)),
     });
   }
 
@@ -57,8 +57,8 @@
    * @param serving - members that fill the room which news leave, so that new
    *   instances learn of all
    */
-  take(serving: readonly Member[]): readonly MemberFact[] {
-    const news = this.#takeNews();
+  nextFacts(serving: readonly Member[]): readonly MemberFact[] {
+    const news = this.#nextPending();
     const told = new Set(news.map(({ instance }) => instance));
     const others = serving.filter(({ id }) => !told.has(id));
     const rest = rotated(others, this.random)
@@ -67,14 +67,14 @@
     return [...news, ...rest];
   }
 
-  #takeNews(): readonly MemberFact[] {
-    const fresh = [...this.#news.values()]
+  #nextPending(): readonly MemberFact[] {
+    const fresh = [...this.#pending.values()]
       .sort((a, b) => b.left - a.left)
       .slice(0, this.maxFacts);
     fresh.forEach(news => {
       news.left -= 1;
       if (news.left <= 0) {
-        this.#news.delete(news.fact.instance);
+        this.#pending.delete(news.fact.instance);
       }
     });
     return fresh.map(({ fact }) => fact);
--- a/packages/decisions/src/membership/Membership.ts
+++ b/packages/decisions/src/membership/Membership.ts
@@ -2,7 +2,7 @@
 
 import type { Clock } from '../blackboard/Blackboard.js';
 import { rotated } from '../util/rotated.js';
-import { MemberNews } from './MemberNews.js';
+import { GossipQueue } from './GossipQueue.js';
 import type {
   HeartbeatFacts,
   Member,
@@ -20,7 +20,7 @@
 }
 
 /** Own part of a heartbeat that others keep up to date. */
-export interface OwnFacts {
+export interface OwnIdentity {
   readonly instance: InstanceId;
   readonly failureDomain: FailureDomainId;
   callerAddress: string;
@@ -44,7 +44,7 @@
   /** News items carried by one heartbeat. */
   readonly maxFacts: number;
   /** Failed instances that the list no longer names are forgotten after this. */
-  readonly forgetMs: number;
+  readonly removeAfterMs: number;
   /**
    * Number of this run of the instance; a later run needs a higher one, or news
    * of the earlier run's end would count against it.
@@ -57,11 +57,11 @@
   periodMs: 1000,
   suspectMs: () => 4000,
   maxFacts: 12,
-  forgetMs: 60_000,
+  removeAfterMs: 60_000,
   incarnation: 1,
 };
 
-const STATE_RANK: Readonly<Record<MemberState, number>> = {
+const STATE_PRECEDENCE: Readonly<Record<MemberState, number>> = {
   live: 0,
   suspect: 1,
   leaving: 2,
@@ -77,21 +77,21 @@
  */
 export class Membership {
   readonly #members = new Map<InstanceId, Member>();
-  readonly #news: MemberNews;
-  #order: InstanceId[] = [];
+  readonly #gossip: GossipQueue;
+  #probeOrder: InstanceId[] = [];
   #incarnation: number;
   #leaving = false;
   #lastTickMs: number;
 
   constructor(
-    readonly self: OwnFacts,
+    readonly self: OwnIdentity,
     private readonly clock: Clock,
     private readonly random: () => number,
     private readonly options: MembershipOptions = DEFAULT_MEMBERSHIP,
   ) {
     this.#lastTickMs = clock();
     this.#incarnation = options.incarnation;
-    this.#news = new MemberNews(random, options.maxFacts);
+    this.#gossip = new GossipQueue(random, options.maxFacts);
   }
 
   get members(): readonly Member[] {
@@ -153,7 +153,7 @@
     const probeable = this.#probeable().length;
     const wanted = Math.min(this.options.fanout(this.#members.size), probeable);
     while (chosen.length < wanted) {
-      const next = this.#next();
+      const next = this.#nextTarget();
       if (next && !chosen.includes(next)) {
         chosen.push(next);
       }
@@ -186,7 +186,7 @@
       ...state,
       incarnation: this.#incarnation,
       leaving: this.#leaving,
-      facts: tellsNews ? this.#news.take(this.serving) : [],
+      facts: tellsNews ? this.#gossip.nextFacts(this.serving) : [],
     };
   }
 
@@ -215,7 +215,7 @@
       this.#change(member, state, message.incarnation);
     } else {
       // It does not know yet that others gave it up; the reply tells it.
-      this.#spread(member);
+      this.#enqueueGossip(member);
     }
     message.facts.forEach(fact => {
       this.#onFact(fact);
@@ -239,7 +239,7 @@
   /** Periodic work: suspects that were not refuted fail; old failures go. */
   tick(): void {
     const nowMs = this.clock();
-    const { forgetMs } = this.options;
+    const { removeAfterMs } = this.options;
     const suspectMs = this.options.suspectMs(this.#members.size);
     this.#lastTickMs = nowMs;
     this.members.forEach(member => {
@@ -248,7 +248,7 @@
         this.#change(member, 'failed', member.incarnation);
       }
       const gone = member.state === 'failed' || member.state === 'leaving';
-      if (gone && !member.listed && ageMs > forgetMs) {
+      if (gone && !member.listed && ageMs > removeAfterMs) {
         this.#members.delete(member.id);
       }
     });
@@ -261,7 +261,7 @@
     }
     const member = this.#members.get(fact.instance);
     if (!member) {
-      this.#learn(fact);
+      this.#addFromFact(fact);
       return;
     }
     if (member.callerAddress === '' && fact.state === 'live') {
@@ -270,14 +270,14 @@
     const newer = fact.incarnation > member.incarnation;
     const worse =
       fact.incarnation === member.incarnation &&
-      STATE_RANK[fact.state] > STATE_RANK[member.state];
+      STATE_PRECEDENCE[fact.state] > STATE_PRECEDENCE[member.state];
     if (newer || worse) {
       this.#change(member, fact.state, fact.incarnation);
     }
   }
 
   /** Others may know instances that this one has never met. */
-  #learn(fact: MemberFact): void {
+  #addFromFact(fact: MemberFact): void {
     const { instance, incarnation, state, peerAddress } = fact;
     if (state === 'live' && peerAddress !== '') {
       this.#add({ ...fact, id: instance }, incarnation, 'live');
@@ -300,28 +300,28 @@
     member.incarnation = Math.max(incarnation, member.incarnation);
     if (member.state === state) {
       if (raised) {
-        this.#spread(member);
+        this.#enqueueGossip(member);
       }
       return;
     }
     member.state = state;
     member.sinceMs = this.clock();
-    this.#spread(member);
+    this.#enqueueGossip(member);
   }
 
-  #spread(member: Member): void {
-    this.#news.onChange(member, this.#members.size + 1);
+  #enqueueGossip(member: Member): void {
+    this.#gossip.enqueue(member, this.#members.size + 1);
   }
 
   #probeable(): readonly Member[] {
     return this.members.filter(({ state }) => state !== 'failed');
   }
 
-  #next(): Member | undefined {
-    if (this.#order.length === 0) {
-      this.#order = this.#shuffled();
+  #nextTarget(): Member | undefined {
+    if (this.#probeOrder.length === 0) {
+      this.#probeOrder = this.#shuffled();
     }
-    const id = this.#order.pop();
+    const id = this.#probeOrder.pop();
     const member = id === undefined ? undefined : this.#members.get(id);
     return member?.state === 'failed' ? undefined : member;
   }
--- a/packages/decisions/src/membership/PeerProbes.ts
+++ b/packages/decisions/src/membership/PeerProbes.ts
@@ -5,7 +5,7 @@
 import type { Membership } from './Membership.js';
 
 /** A question to another instance that has no answer yet. */
-export interface OpenQuestion {
+export interface OutstandingProbe {
   readonly address: string;
   /** Null where it isn't known as a member, as a seed. */
   readonly member: Member | null;
@@ -32,17 +32,17 @@
  * sign of life make it a suspect.
  */
 export class PeerProbes {
-  readonly #open = new Map<number, OpenQuestion>();
+  readonly #outstanding = new Map<number, OutstandingProbe>();
   readonly #misses = new Map<InstanceId, number>();
-  #number = 0;
-  #roundMs: number;
+  #lastNumber = 0;
+  #lastRoundMs: number;
 
   constructor(
     private readonly membership: Membership,
     private readonly clock: Clock,
     private readonly options: PeerProbeOptions,
   ) {
-    this.#roundMs = clock();
+    this.#lastRoundMs = clock();
   }
 
   /**
@@ -54,15 +54,20 @@
    */
   ask(address: string, member: Member | null): number {
     // Zero stands for no question on the wire.
-    this.#number += 1;
+    this.#lastNumber += 1;
     const sentMs = this.clock();
-    this.#open.set(this.#number, { address, member, askedMs: sentMs, sentMs });
-    return this.#number;
+    this.#outstanding.set(this.#lastNumber, {
+      address,
+      member,
+      askedMs: sentMs,
+      sentMs,
+    });
+    return this.#lastNumber;
   }
 
   /** Whether an answer from this address is still awaited. */
   awaits(address: string): boolean {
-    return [...this.#open.values()].some(
+    return [...this.#outstanding.values()].some(
       question => question.address === address,
     );
   }
@@ -77,8 +82,8 @@
    * @returns when the question was sent; null where none is open
    */
   onHeard(from: InstanceId, answerTo: number): number | null {
-    const question = this.#open.get(answerTo);
-    this.#open.delete(answerTo);
+    const question = this.#outstanding.get(answerTo);
+    this.#outstanding.delete(answerTo);
     this.#misses.delete(from);
     return question?.sentMs ?? null;
   }
@@ -96,14 +101,14 @@
   beginRound(): readonly Member[] {
     const nowMs = this.clock();
     const { periodMs, answerMs } = this.options;
-    const heldUpMs = Math.max(0, nowMs - this.#roundMs - periodMs);
-    this.#roundMs = nowMs;
-    const overdue = [...this.#open].filter(([, question]) => {
+    const heldUpMs = Math.max(0, nowMs - this.#lastRoundMs - periodMs);
+    this.#lastRoundMs = nowMs;
+    const overdue = [...this.#outstanding].filter(([, question]) => {
       question.askedMs += heldUpMs;
       return nowMs - question.askedMs > answerMs;
     });
     return overdue.flatMap(([number, { member }]) => {
-      this.#open.delete(number);
+      this.#outstanding.delete(number);
       return member ? this.#onMiss(member) : [];
     });
   }
--- a/packages/decisions/tests/Router.fuzz.test.ts
+++ b/packages/decisions/tests/Router.fuzz.test.ts
@@ -7,7 +7,7 @@
 const CLASSES = ['gold', 'silver', 'bronze', 'once'] as const;
 
 /** What the caller of each request has seen, kept apart from the router. */
-interface Seen {
+interface CallerView {
   readonly idempotent: boolean;
   tokens: number;
   ended: boolean;
@@ -16,16 +16,16 @@
 }
 
 /** The router with an oracle of the promises beside it. */
-class World {
+class RouterWithOracle {
   readonly fixture = new RouterFixture();
-  readonly seen = new Map<RequestId, Seen>();
+  readonly seen = new Map<RequestId, CallerView>();
   readonly faults: string[] = [];
   #checked = 0;
   #refusals = 0;
 
   submit(className: (typeof CLASSES)[number]): void {
     const id = this.fixture.submit(className);
-    const entry: Seen = {
+    const entry: CallerView = {
       idempotent: className !== 'once',
       tokens: 0,
       ended: false,
@@ -102,7 +102,7 @@
     this.check();
   }
 
-  pass(ms: number): void {
+  advance(ms: number): void {
     this.fixture.advance(ms);
     this.check();
   }
@@ -159,29 +159,29 @@
   }
 }
 
-type Step = (world: World) => void;
+type Step = (world: RouterWithOracle) => void;
 
 const pick = fc.nat({ max: 200 });
 const step: fc.Arbitrary<Step> = fc.oneof(
-  fc.constantFrom(...CLASSES).map(name => (world: World) => {
+  fc.constantFrom(...CLASSES).map(name => (world: RouterWithOracle) => {
     world.submit(name);
   }),
-  pick.map(n => (world: World) => {
+  pick.map(n => (world: RouterWithOracle) => {
     world.tokens(n);
   }),
-  pick.map(n => (world: World) => {
+  pick.map(n => (world: RouterWithOracle) => {
     world.finish(n);
   }),
   fc
     .tuple(pick, fc.constantFrom('maybe' as const, 'no' as const))
-    .map(([n, ran]) => (world: World) => {
+    .map(([n, ran]) => (world: RouterWithOracle) => {
       world.fail(n, ran);
     }),
-  pick.map(n => (world: World) => {
+  pick.map(n => (world: RouterWithOracle) => {
     world.leave(n);
   }),
-  fc.constantFrom(100, 700, 2500).map(ms => (world: World) => {
-    world.pass(ms);
+  fc.constantFrom(100, 700, 2500).map(ms => (world: RouterWithOracle) => {
+    world.advance(ms);
   }),
 );
 
@@ -194,7 +194,7 @@
     const property = fc.property(
       fc.array(step, { maxLength: MAX_STEPS }),
       steps => {
-        const world = new World();
+        const world = new RouterWithOracle();
         steps.forEach(run => {
           run(world);
         });
--- a/packages/decisions/tests/duties/HolderLease.test.ts
+++ b/packages/decisions/tests/duties/HolderLease.test.ts
@@ -2,7 +2,7 @@
 import type { InstanceId } from '@jujubecroft/types';
 import { brand } from '@jujubecroft/types';
 
-import type { HolderId, Holding, LeaseFacts } from '../../src/index.js';
+import type { HolderId, Holding, LeaseInputs } from '../../src/index.js';
 import { HolderLease, NO_NOTES } from '../../src/index.js';
 import type { ManualClock } from '../gateway/helpers/gatewayFixture.js';
 import {
@@ -11,7 +11,7 @@
 } from '../gateway/helpers/gatewayFixture.js';
 
 const LEASE_MS = 3000;
-const FACTS: LeaseFacts = {
+const FACTS: LeaseInputs = {
   rank: () => 0,
   news: null,
   notes: NO_NOTES,
--- a/packages/decisions/tests/duties/exploreLease.test.ts
+++ b/packages/decisions/tests/duties/exploreLease.test.ts
@@ -14,14 +14,14 @@
 }
 
 /** Takes a lease that others still hold, as if it had run out. */
-class HastyLease extends HolderLease {
+class EarlyTakeoverLease extends HolderLease {
   override onRead(...[row, storeMs]: Parameters<HolderLease['onRead']>): void {
     super.onRead(row, storeMs + 10 * LEASE_MS);
   }
 }
 
 /** Counts its lease from the answer to its write. */
-class LateLease extends HolderLease {
+class AnswerTimedLease extends HolderLease {
   override onWritten(
     ...[write, version]: Parameters<HolderLease['onWritten']>
   ): void {
@@ -85,7 +85,7 @@
     const { fault } = exploreLease(
       2,
       10,
-      (options, state) => new HastyLease(options, state),
+      (options, state) => new EarlyTakeoverLease(options, state),
     );
     t.not(fault, null);
   });
@@ -94,7 +94,7 @@
     const { fault } = exploreLease(
       2,
       11,
-      (options, state) => new LateLease(options, state),
+      (options, state) => new AnswerTimedLease(options, state),
     );
     t.not(fault, null);
   });
--- a/packages/decisions/tests/duties/helpers/exploreLease.ts
+++ b/packages/decisions/tests/duties/helpers/exploreLease.ts
@@ -13,7 +13,7 @@
 
 export const LEASE_MS = 3000;
 /** Time that passes in one step of the exploration. */
-const QUANTUM_MS = 1500;
+const TIME_STEP_MS = 1500;
 
 /** A write that was sent and may be done now, later or never. */
 interface SentWrite {
@@ -24,7 +24,7 @@
   readonly isAwaited: boolean;
 }
 
-interface World {
+interface SystemState {
   readonly nowMs: number;
   readonly row: HoldingRow;
   readonly agents: readonly LeaseState[];
@@ -33,7 +33,7 @@
 }
 
 /** What an exploration has seen. */
-export interface Explored {
+export interface ExplorationResult {
   readonly states: number;
   /** The first fault with the way there; null where there is none. */
   readonly fault: {
@@ -56,7 +56,7 @@
 }
 
 function leaseAt(
-  { nowMs, agents }: World,
+  { nowMs, agents }: SystemState,
   agent: number,
   create: LeaseFactory,
 ): HolderLease {
@@ -73,14 +73,22 @@
   return create(options, agents[agent]);
 }
 
-function withAgent(world: World, agent: number, lease: HolderLease): World {
+function withAgent(
+  world: SystemState,
+  agent: number,
+  lease: HolderLease,
+): SystemState {
   return { ...world, agents: world.agents.with(agent, lease.state) };
 }
 
 /** A look that is always due, since others may have heard of nothing. */
 const FACTS = { rank: () => 0, news: null, notes: NO_NOTES, givesUp: false };
 
-function step(world: World, agent: number, create: LeaseFactory): World {
+function step(
+  world: SystemState,
+  agent: number,
+  create: LeaseFactory,
+): SystemState {
   const lease = leaseAt(world, agent, create);
   const next = lease.next(FACTS);
   switch (next.kind) {
@@ -104,7 +112,11 @@
   }
 }
 
-function act(world: World, agent: number, create: LeaseFactory): World[] {
+function act(
+  world: SystemState,
+  agent: number,
+  create: LeaseFactory,
+): SystemState[] {
   const { token } = leaseAt(world, agent, create);
   return token === null
     ? []
@@ -120,14 +132,18 @@
 }
 
 /** The store carries a write out, if its condition still holds. */
-function carryOut(world: World, place: number, create: LeaseFactory): World {
+function applyWrite(
+  world: SystemState,
+  place: number,
+  create: LeaseFactory,
+): SystemState {
   const write = world.sent[place];
   if (!write) {
     return world;
   }
   const isDone = write.write.expectedVersion === world.row.version;
   const version = world.row.version + 1;
-  const after: World = {
+  const after: SystemState = {
     ...world,
     row: isDone ? { version, holding: write.write.holding } : world.row,
     sent: world.sent.filter(other => other !== write),
@@ -144,11 +160,11 @@
   return withAgent(after, write.agent, lease);
 }
 
-function giveUpWaiting(
-  world: World,
+function timeOutWrite(
+  world: SystemState,
   place: number,
   create: LeaseFactory,
-): World {
+): SystemState {
   const write = world.sent[place];
   if (!write) {
     return world;
@@ -163,7 +179,11 @@
 }
 
 /** The process starts anew on the same machine; it waits for no answer any more. */
-function restart(world: World, agent: number, create: LeaseFactory): World {
+function restart(
+  world: SystemState,
+  agent: number,
+  create: LeaseFactory,
+): SystemState {
   const fresh = leaseAt({ ...world, agents: [] }, agent, create);
   return {
     ...withAgent(world, agent, fresh),
@@ -173,7 +193,10 @@
   };
 }
 
-function successors(world: World, create: LeaseFactory): readonly World[] {
+function successors(
+  world: SystemState,
+  create: LeaseFactory,
+): readonly SystemState[] {
   const ofAgents = world.agents.flatMap((_, agent) => {
     const isWaiting = world.sent.some(
       write => write.agent === agent && write.isAwaited,
@@ -185,18 +208,18 @@
     ];
   });
   const ofWrites = world.sent.flatMap(({ isAwaited }, place) => [
-    carryOut(world, place, create),
-    ...(isAwaited ? [giveUpWaiting(world, place, create)] : []),
+    applyWrite(world, place, create),
+    ...(isAwaited ? [timeOutWrite(world, place, create)] : []),
   ]);
   return [
     ...ofAgents,
     ...ofWrites,
-    { ...world, nowMs: world.nowMs + QUANTUM_MS },
+    { ...world, nowMs: world.nowMs + TIME_STEP_MS },
   ];
 }
 
 /** The same for worlds that differ in nothing that matters later. */
-function keyOf({ nowMs, row, agents, sent, acts }: World): string {
+function keyOf({ nowMs, row, agents, sent, acts }: SystemState): string {
   const recent = acts.filter(({ atMs }) => nowMs - atMs <= LEASE_MS);
   return JSON.stringify([nowMs, row, agents, sent, recent, acts.at(-1)]);
 }
@@ -215,8 +238,8 @@
   agents: number,
   depth: number,
   create: LeaseFactory = createLease,
-): Explored {
-  const empty: World = {
+): ExplorationResult {
+  const empty: SystemState = {
     nowMs: 10_000,
     row: { version: 0, holding: null },
     agents: [],
@@ -228,7 +251,7 @@
     startedMs: 0,
   }));
   const seen = new Set<string>();
-  let frontier: readonly World[] = [{ ...empty, agents: states }];
+  let frontier: readonly SystemState[] = [{ ...empty, agents: states }];
   for (let at = 0; at < depth; at += 1) {
     const next = frontier
       .flatMap(world => successors(world, create))
--- a/packages/decisions/tests/duties/scaling/replicaOrders.test.ts
+++ b/packages/decisions/tests/duties/scaling/replicaOrders.test.ts
@@ -7,7 +7,7 @@
 import { brand } from '@jujubecroft/types';
 
 import type {
-  OrderFacts,
+  OrderInputs,
   ReplicaCensus,
   ReplicaOrder,
 } from '../../../src/index.js';
@@ -43,7 +43,7 @@
     .reduce((sum, { count }) => sum + count, 0);
 }
 
-function facts(overrides: Partial<OrderFacts> = {}): OrderFacts {
+function facts(overrides: Partial<OrderInputs> = {}): OrderInputs {
   return {
     service: SERVICE,
     scaling: SCALING,
@@ -63,7 +63,7 @@
       scaling,
       need,
       census: census(0, 0),
-      isDry: () => false,
+      isSpotUnavailable: () => false,
     });
 
   // Guards against a burst that meets a third of the replicas gone.
@@ -107,7 +107,7 @@
 
 describe('planReplicas where no cheap ones are to be had', ({ it }) => {
   const planWhere = (
-    isDry: (domain: FailureDomainId) => boolean,
+    isSpotUnavailable: (domain: FailureDomainId) => boolean,
     standing: ReplicaCensus,
   ): number =>
     [
@@ -115,7 +115,7 @@
         scaling: SCALING,
         need: 60,
         census: standing,
-        isDry,
+        isSpotUnavailable,
       }).values(),
     ].reduce((sum, { lasting }) => sum + lasting, 0);
 
@@ -140,7 +140,7 @@
 describe('stepTowards', ({ it }) => {
   // Guards against capacity that is given back before its replacement serves.
   it('gives nothing back that is needed', t => {
-    const before = { ...facts(), isDry: () => false };
+    const before = { ...facts(), isSpotUnavailable: () => false };
     const step = stepTowards(before, planReplicas(before));
     t.deepEqual(
       [...step.values()].map(({ lasting }) => lasting),
--- a/packages/decisions/tests/duties/usage.test.ts
+++ b/packages/decisions/tests/duties/usage.test.ts
@@ -18,9 +18,9 @@
 const WINDOW_MS = 5000;
 const LATE_MS = 10_000;
 const WINDOW = 100;
-const END_MS = (WINDOW + 1) * WINDOW_MS;
+const WINDOW_END_MS = (WINDOW + 1) * WINDOW_MS;
 
-function told(
+function usageReport(
   instance: InstanceId,
   shop: number,
   overrides: Partial<ToldUsage> = {},
@@ -28,7 +28,7 @@
   return {
     instance,
     incarnation: 1,
-    asOfMs: END_MS,
+    asOfMs: WINDOW_END_MS,
     windows: [{ window: WINDOW, counts: { [SHOP]: shop } }],
     ...overrides,
   };
@@ -40,7 +40,7 @@
   notes: DutyNotes = { ...NO_NOTES, reportedThrough: WINDOW - 1 },
 ): DutyNotes {
   return decideUsage(notes, {
-    nowUnixMs: END_MS + afterMs,
+    nowUnixMs: WINDOW_END_MS + afterMs,
     windowMs: WINDOW_MS,
     lateMs: LATE_MS,
     heldForMs: LATE_MS,
@@ -53,10 +53,10 @@
   it('counts a request once, in the window in which it first ran', t => {
     const ledger = new UsageLedger(WINDOW_MS);
     const request = { organisation: SHOP };
-    ledger.onBegan(request, END_MS - 1);
-    ledger.onBegan(request, END_MS + 1);
-    ledger.onBegan({ organisation: SHOP }, END_MS);
-    ledger.onBegan({ organisation: FARM }, END_MS);
+    ledger.onBegan(request, WINDOW_END_MS - 1);
+    ledger.onBegan(request, WINDOW_END_MS + 1);
+    ledger.onBegan({ organisation: SHOP }, WINDOW_END_MS);
+    ledger.onBegan({ organisation: FARM }, WINDOW_END_MS);
     t.deepEqual(ledger.since(WINDOW - 1), [
       { window: WINDOW, counts: { [SHOP]: 1 } },
       { window: WINDOW + 1, counts: { [SHOP]: 1, [FARM]: 1 } },
@@ -65,7 +65,7 @@
 
   it('counts nothing for routes that need no key', t => {
     const ledger = new UsageLedger(WINDOW_MS);
-    ledger.onBegan({ organisation: null }, END_MS);
+    ledger.onBegan({ organisation: null }, WINDOW_END_MS);
     t.deepEqual(ledger.since(0), []);
   });
 
@@ -82,18 +82,18 @@
   // Guards against counts that a lost, repeated or overtaken message changes.
   it('adds up the newest that each run of an instance told', t => {
     const collector = new UsageCollector();
-    collector.onTold(told(A, 3));
-    collector.onTold(told(A, 7));
-    collector.onTold(told(A, 5));
-    collector.onTold(told(B, 10));
-    collector.onTold(told(B, 4, { incarnation: 2 }));
+    collector.onTold(usageReport(A, 3));
+    collector.onTold(usageReport(A, 7));
+    collector.onTold(usageReport(A, 5));
+    collector.onTold(usageReport(B, 10));
+    collector.onTold(usageReport(B, 4, { incarnation: 2 }));
     t.deepEqual(collector.usageOf(WINDOW).counts, { [SHOP]: 21 });
   });
 
   it('forgets windows that were decided', t => {
     const collector = new UsageCollector();
-    collector.onTold(told(A, 3));
-    collector.forget(WINDOW);
+    collector.onTold(usageReport(A, 3));
+    collector.discardThrough(WINDOW);
     t.deepEqual(collector.usageOf(WINDOW).counts, {});
   });
 });
@@ -106,9 +106,9 @@
 
   it('waits until all live instances have told', t => {
     const collector = new UsageCollector();
-    collector.onTold(told(A, 3));
+    collector.onTold(usageReport(A, 3));
     t.is(decide(collector, 2000).decided.length, 0);
-    collector.onTold(told(B, 4));
+    collector.onTold(usageReport(B, 4));
     t.deepEqual(decide(collector, 2000).decided, [
       { window: WINDOW, counts: { [SHOP]: 7 } },
     ]);
@@ -117,16 +117,16 @@
   // Guards against a window that is never reported for an instance that is cut off.
   it('goes without an instance that tells nothing, before the report is late', t => {
     const collector = new UsageCollector();
-    collector.onTold(told(A, 3));
+    collector.onTold(usageReport(A, 3));
     t.is(decide(collector, LATE_MS / 2).decided.length, 1);
   });
 
   // Guards against two counts for one window.
   it('decides a window once', t => {
     const collector = new UsageCollector();
-    collector.onTold(told(A, 3));
+    collector.onTold(usageReport(A, 3));
     const notes = decide(collector, LATE_MS / 2);
-    collector.onTold(told(A, 9));
+    collector.onTold(usageReport(A, 9));
     t.is(decide(collector, LATE_MS / 2 + 100, notes), notes);
   });
 
--- a/packages/decisions/tests/helpers/RouterFixture.ts
+++ b/packages/decisions/tests/helpers/RouterFixture.ts
@@ -90,7 +90,7 @@
   };
 }
 
-interface Sent {
+interface SentAttempt {
   readonly id: RequestId;
   readonly attempt: Attempt;
 }
@@ -98,8 +98,8 @@
 /** A router on a clock that the test moves, with every effect recorded. */
 export class RouterFixture {
   nowMs = 1000;
-  readonly dispatched: Sent[] = [];
-  readonly cancelled: Sent[] = [];
+  readonly dispatched: SentAttempt[] = [];
+  readonly cancelled: SentAttempt[] = [];
   readonly refused: { id: RequestId; refusal: Refusal }[] = [];
   readonly decisions: DecisionEvent[] = [];
   readonly router;
--- a/packages/decisions/tests/membership/Membership.test.ts
+++ b/packages/decisions/tests/membership/Membership.test.ts
@@ -52,7 +52,7 @@
     return !this.down.has(to) && !this.paused.has(to) && !this.cut(from, to);
   }
 
-  period(): void {
+  runPeriod(): void {
     this.nowMs += 1000;
     this.nodes.forEach((node, name) => {
       if (!this.down.has(name) && !this.paused.has(name)) {
@@ -84,12 +84,12 @@
 
   run(periods: number): void {
     Array.from({ length: periods }).forEach(() => {
-      this.period();
+      this.runPeriod();
     });
   }
 
   /** How all others see one instance. */
-  views(of: string): string[] {
+  statesOf(of: string): string[] {
     return [...this.nodes]
       .filter(([name]) => name !== of && !this.down.has(name))
       .map(
@@ -110,7 +110,7 @@
       fleet.run(3);
       fleet.down.add('n3');
       fleet.run(14);
-      t.true(fleet.views('n3').every(state => state === 'failed'));
+      t.true(fleet.statesOf('n3').every(state => state === 'failed'));
     });
 
     it('does not suspect over one broken link', t => {
@@ -120,8 +120,8 @@
       fleet.cut = (from, to) =>
         [from, to].includes('n1') && [from, to].includes('n2');
       fleet.run(30);
-      t.true(fleet.views('n2').every(state => state === 'live'));
-      t.true(fleet.views('n1').every(state => state === 'live'));
+      t.true(fleet.statesOf('n2').every(state => state === 'live'));
+      t.true(fleet.statesOf('n1').every(state => state === 'live'));
     });
 
     it('takes a paused instance back once it refutes', t => {
@@ -131,10 +131,10 @@
       fleet.run(3);
       fleet.paused.add('n4');
       fleet.run(20);
-      t.true(fleet.views('n4').every(state => state === 'failed'));
+      t.true(fleet.statesOf('n4').every(state => state === 'failed'));
       fleet.paused.delete('n4');
       fleet.run(12);
-      t.true(fleet.views('n4').every(state => state === 'live'));
+      t.true(fleet.statesOf('n4').every(state => state === 'live'));
     });
 
     it('does not let a paused instance accuse the others', t => {
@@ -154,11 +154,11 @@
       fleet.run(3);
       fleet.cut = (from, to) => side(from) !== side(to);
       fleet.run(60);
-      t.true(fleet.views('n0').includes('failed'));
+      t.true(fleet.statesOf('n0').includes('failed'));
       fleet.cut = () => false;
       fleet.run(25);
       names(12).forEach(name => {
-        t.true(fleet.views(name).every(state => state === 'live'));
+        t.true(fleet.statesOf(name).every(state => state === 'live'));
       });
     });
   });
@@ -174,7 +174,7 @@
       fleet.nodes.forEach(node => {
         node.onList(names(8).map(listed));
       });
-      t.true(fleet.views('n5').every(state => state === 'leaving'));
+      t.true(fleet.statesOf('n5').every(state => state === 'leaving'));
     });
   });
 
--- a/packages/decisions/tests/membership/PeerProbes.test.ts
+++ b/packages/decisions/tests/membership/PeerProbes.test.ts
@@ -9,7 +9,7 @@
 const OPTIONS = { periodMs: PERIOD_MS, answerMs: 400, missesToSuspect: 3 };
 const STATE = { revision: 1, inFlight: 0 };
 
-const factsOf = (name: string) => ({
+const identityOf = (name: string) => ({
   instance: brand<InstanceId>(name),
   failureDomain: brand<FailureDomainId>('domain-a'),
   callerAddress: `http://${name}`,
@@ -25,7 +25,7 @@
   readonly heartbeat: ReturnType<Membership['message']>;
 }
 
-interface Node {
+interface FleetNode {
   readonly membership: Membership;
   readonly probes: PeerProbes;
   /** Until when the process is busy or has no processor. */
@@ -47,9 +47,9 @@
 /** Instances on one virtual clock that ask each other by datagrams. */
 class ProbedFleet {
   nowMs = 0;
-  readonly #nodes = new Map<string, Node>();
+  readonly #nodes = new Map<string, FleetNode>();
   readonly #down = new Set<string>();
-  #flying: Datagram[] = [];
+  #inTransit: Datagram[] = [];
   readonly #random = createRandom(7);
   suspicions = 0;
   failures = 0;
@@ -62,7 +62,7 @@
     names.forEach((name, index) => {
       const clock = (): number => this.nowMs;
       const membership = new Membership(
-        factsOf(name),
+        identityOf(name),
         clock,
         createRandom(index + 1),
         {
@@ -74,7 +74,7 @@
       );
       membership.onList(
         names.map(other => ({
-          ...factsOf(other),
+          ...identityOf(other),
           id: brand<InstanceId>(other),
           state: 'live' as const,
         })),
@@ -106,7 +106,7 @@
     const untilMs = this.nowMs + ms;
     while (this.nowMs < untilMs) {
       this.nowMs += STEP_MS;
-      this.#carry();
+      this.#deliver();
       this.#nodes.forEach((node, name) => {
         if (!this.#down.has(name)) {
           this.#step(name, node);
@@ -115,15 +115,15 @@
     }
   }
 
-  #carry(): void {
-    const arrived = this.#flying.filter(({ atMs }) => atMs <= this.nowMs);
-    this.#flying = this.#flying.filter(({ atMs }) => atMs > this.nowMs);
+  #deliver(): void {
+    const arrived = this.#inTransit.filter(({ atMs }) => atMs <= this.nowMs);
+    this.#inTransit = this.#inTransit.filter(({ atMs }) => atMs > this.nowMs);
     arrived.forEach(datagram => {
       this.#nodes.get(datagram.to)?.inbox.push(datagram);
     });
   }
 
-  #step(name: string, node: Node): void {
+  #step(name: string, node: FleetNode): void {
     const { heldUpMs, everyMs } = this.conditions;
     if (heldUpMs > 0 && this.#random() < STEP_MS / everyMs) {
       node.heldUpUntilMs = this.nowMs + heldUpMs;
@@ -137,14 +137,14 @@
       this.#round(name, node);
     }
     node.inbox.splice(0).forEach(datagram => {
-      this.#take(name, node, datagram);
+      this.#receive(name, node, datagram);
     });
   }
 
-  #round(name: string, { membership, probes }: Node): void {
-    const before = this.#accused(membership);
+  #round(name: string, { membership, probes }: FleetNode): void {
+    const before = this.#falseSuspicions(membership);
     const again = probes.beginRound();
-    this.suspicions += this.#accused(membership) - before;
+    this.suspicions += this.#falseSuspicions(membership) - before;
     membership.tick();
     [...again, ...membership.targets()].forEach(member => {
       const question = probes.ask(member.peerAddress, member);
@@ -156,13 +156,17 @@
     ).length;
   }
 
-  #accused(membership: Membership): number {
+  #falseSuspicions(membership: Membership): number {
     return membership.members.filter(
       ({ id, state }) => state === 'suspect' && !this.#down.has(id),
     ).length;
   }
 
-  #take(name: string, { membership, probes }: Node, datagram: Datagram): void {
+  #receive(
+    name: string,
+    { membership, probes }: FleetNode,
+    datagram: Datagram,
+  ): void {
     const { from, question, answerTo, heartbeat } = datagram;
     probes.onHeard(brand<InstanceId>(from), answerTo);
     if (question !== 0) {
@@ -176,7 +180,7 @@
     if (!node || this.#down.has(to) || this.#random() < this.conditions.loss) {
       return;
     }
-    this.#flying.push({
+    this.#inTransit.push({
       from,
       to,
       atMs: this.nowMs + STEP_MS,
@@ -187,7 +191,7 @@
   }
 }
 
-const CALM: Conditions = { loss: 0, heldUpMs: 0, everyMs: 0 };
+const NO_DISTURBANCE: Conditions = { loss: 0, heldUpMs: 0, everyMs: 0 };
 
 describe('PeerProbes', ({ describe: group }) => {
   group('instances that are short of processor', ({ it }) => {
@@ -214,7 +218,7 @@
 
   group('datagrams that get lost', ({ it }) => {
     it('suspects nobody for a few of a hundred', t => {
-      const fleet = new ProbedFleet(60, { ...CALM, loss: 0.03 });
+      const fleet = new ProbedFleet(60, { ...NO_DISTURBANCE, loss: 0.03 });
       fleet.run(20_000);
       t.true(
         fleet.suspicions <= 3,
@@ -227,7 +231,7 @@
   group('an instance that is gone', ({ it }) => {
     [8, 60].forEach(size => {
       it(`is known everywhere within six seconds, ${size} instances`, t => {
-        const fleet = new ProbedFleet(size, CALM);
+        const fleet = new ProbedFleet(size, NO_DISTURBANCE);
         fleet.run(2000);
         fleet.kill('node-1');
         fleet.run(6000);
