--- a/packages/decisions/src/estimators/LengthEstimator.ts
+++ b/packages/decisions/src/estimators/LengthEstimator.ts
@@ -2,14 +2,20 @@
 import { build } from 'hdr-histogram-js';
 import type { ClassId, OrganisationId } from '@jujubecroft/types';
 
+/** Samples in one window. */
 const WINDOW_SAMPLES = 512;
+/** Samples after which an estimate is recomputed. */
 const REFRESH_EVERY_SAMPLES = 16;
+/** Samples needed for a first estimate. */
 const MIN_SAMPLES = 8;
+/** Upper bound of a recorded length. */
 const MAX_TOKENS = 1_000_000;
+/** Precision of the histograms. */
 const SIGNIFICANT_DIGITS = 2;
+/** Mean assumed while there are too few samples; twice this is assumed for the p90. */
 const DEFAULT_MEAN_TOKENS = 200;
 
-/** Answer-length estimate in tokens. */
+/** Estimated length of a response, in tokens. */
 export interface LengthEstimate {
   readonly mean: number;
   readonly p90: number;
@@ -41,20 +47,21 @@
 }
 
 /**
- * Learns answer lengths online, per class and per organisation within a class.
+ * Estimates response lengths from recent traffic, per request class and per organisation
+ * within a class.
  *
- * Two alternating windows forget old traffic, so the estimate follows a change
- * of behaviour within one window of samples.
+ * An estimate covers the current and the previous window of samples, so that it follows
+ * a change of the traffic within one window.
  */
 export class LengthEstimator {
   readonly #windows = new Map<string, SampleWindow>();
 
   /**
-   * Records the length of a whole answer.
+   * Records the length of a complete response.
    *
    * @param requestClass - class of the request
    * @param organisation - organisation of the request
-   * @param tokens - length of the answer in tokens
+   * @param tokens - length of the response in tokens
    */
   record(
     requestClass: ClassId,
@@ -67,22 +74,22 @@
   }
 
   /**
-   * Estimates the length of an answer that has not begun.
+   * Estimates the length of a response that has not started.
    *
    * @param requestClass - class of the request
    * @param organisation - organisation of the request
-   * @param maxTokens - hard bound that the caller set
-   * @returns the narrowest estimate with enough samples, cut at the bound
+   * @param maxTokens - upper bound of the length
+   * @returns the most specific estimate with enough samples, limited to the bound
    */
   estimate(
     requestClass: ClassId,
     organisation: OrganisationId,
     maxTokens: number,
   ): LengthEstimate {
-    const learnt =
+    const learned =
       this.#windows.get(`${requestClass}/${organisation}`)?.estimate ??
       this.#windows.get(requestClass)?.estimate;
-    const { mean, p90 } = learnt ?? {
+    const { mean, p90 } = learned ?? {
       mean: DEFAULT_MEAN_TOKENS,
       p90: 2 * DEFAULT_MEAN_TOKENS,
     };
--- a/packages/decisions/src/membership/GossipQueue.ts
+++ b/packages/decisions/src/membership/GossipQueue.ts
@@ -3,11 +3,12 @@
 import { rotated } from '../util/rotated.js';
 import type { Member, MemberFact } from './Member.js';
 
-/** Heartbeats that carry one piece of news at least, however small the fleet. */
+/** Minimum number of heartbeats that carry a changed fact, however small the fleet. */
 const MIN_TRANSMISSIONS = 4;
 
 interface PendingFact {
   readonly fact: MemberFact;
+  /** Heartbeats that are still to carry the fact. */
   left: number;
 }
 
@@ -24,13 +25,13 @@
   };
 }
 
-/** What heartbeats tell of other members: changes first, then whoever serves. */
+/** Selects the facts that heartbeats carry: recent changes first, then serving members. */
 export class GossipQueue {
   readonly #pending = new Map<InstanceId, PendingFact>();
 
   /**
-   * @param random - draws from [0, 1)
-   * @param maxFacts - facts that one heartbeat carries
+   * @param random - random numbers from [0, 1)
+   * @param maxFacts - maximum number of facts in one heartbeat
    */
   constructor(
     private readonly random: () => number,
@@ -38,13 +39,13 @@
   ) {}
 
   /**
-   * Notes a change, to be told often enough to reach everybody.
+   * Schedules a changed member for enough heartbeats to reach every instance.
    *
-   * @param member - that changed
-   * @param fleet - instances, this one included
+   * @param member - member that has changed
+   * @param fleetSize - number of instances, including this one
    */
-  enqueue(member: Member, fleet: number): void {
-    const size = Math.max(2, fleet);
+  enqueue(member: Member, fleetSize: number): void {
+    const size = Math.max(2, fleetSize);
     this.#pending.set(member.id, {
       fact: factOf(member),
       left: MIN_TRANSMISSIONS + Math.ceil(2 * Math.log2(size)),
@@ -52,31 +53,32 @@
   }
 
   /**
-   * The facts of one heartbeat.
+   * Selects the facts of the next heartbeat.
    *
-   * @param serving - members that fill the room which news leave, so that new
-   *   instances learn of all
+   * @param serving - serving members that fill the remaining space, so that new
+   *   instances learn of all members
+   * @returns facts, changes first
    */
   nextFacts(serving: readonly Member[]): readonly MemberFact[] {
-    const news = this.#nextPending();
-    const told = new Set(news.map(({ instance }) => instance));
-    const others = serving.filter(({ id }) => !told.has(id));
+    const changes = this.#nextPending();
+    const changed = new Set(changes.map(({ instance }) => instance));
+    const others = serving.filter(({ id }) => !changed.has(id));
     const rest = rotated(others, this.random)
-      .slice(0, this.maxFacts - news.length)
+      .slice(0, this.maxFacts - changes.length)
       .map(factOf);
-    return [...news, ...rest];
+    return [...changes, ...rest];
   }
 
   #nextPending(): readonly MemberFact[] {
-    const fresh = [...this.#pending.values()]
+    const selected = [...this.#pending.values()]
       .sort((a, b) => b.left - a.left)
       .slice(0, this.maxFacts);
-    fresh.forEach(news => {
-      news.left -= 1;
-      if (news.left <= 0) {
-        this.#pending.delete(news.fact.instance);
+    selected.forEach(pending => {
+      pending.left -= 1;
+      if (pending.left <= 0) {
+        this.#pending.delete(pending.fact.instance);
       }
     });
-    return fresh.map(({ fact }) => fact);
+    return selected.map(({ fact }) => fact);
   }
 }
--- a/packages/decisions/src/membership/MemberStateWatch.ts
+++ b/packages/decisions/src/membership/MemberStateWatch.ts
@@ -2,20 +2,22 @@
 
 import type { Member, MemberState } from './Member.js';
 
-/** How a member changed for those who watch the fleet. */
+/** Change of a member's state. */
 export interface MemberChange {
   readonly member: InstanceId;
   readonly before: MemberState | 'unknown';
   readonly state: MemberState;
 }
 
-/** Tells which members changed state, for logs. */
+/** Detects changes of member states, for logging. */
 export class MemberStateWatch {
   readonly #states = new Map<InstanceId, MemberState>();
 
   /**
-   * @param members - all that are known now
-   * @returns changes since the last call
+   * Compares the members with those of the previous call.
+   *
+   * @param members - all known members
+   * @returns changes of state since the previous call
    */
   look(members: readonly Member[]): readonly MemberChange[] {
     return members
--- a/packages/decisions/src/membership/Membership.ts
+++ b/packages/decisions/src/membership/Membership.ts
@@ -10,7 +10,7 @@
   MemberState,
 } from './Member.js';
 
-/** What the platform's list says of an instance. */
+/** Entry of the platform's list of instances. */
 export interface ListedMember {
   readonly id: InstanceId;
   readonly failureDomain: FailureDomainId;
@@ -19,7 +19,7 @@
   readonly state: 'leaving' | 'live';
 }
 
-/** Own part of a heartbeat that others keep up to date. */
+/** Identity and addresses of this instance, as sent with its heartbeats. */
 export interface OwnIdentity {
   readonly instance: InstanceId;
   readonly failureDomain: FailureDomainId;
@@ -27,27 +27,32 @@
   peerAddress: string;
 }
 
+/** Parameters of the membership protocol. */
 export interface MembershipOptions {
   /**
-   * Members that get a heartbeat in each period.
+   * Number of members that are sent a heartbeat in each period.
    *
-   * @param members - how many are known
+   * @param members - number of known members
    */
   readonly fanout: (members: number) => number;
+  /** Length of a period, in milliseconds. */
   readonly periodMs: number;
   /**
-   * Time that a suspect has to refute the suspicion.
+   * Time within which a suspect can refute the suspicion, in milliseconds.
    *
-   * @param members - how many are known
+   * @param members - number of known members
    */
   readonly suspectMs: (members: number) => number;
-  /** News items carried by one heartbeat. */
+  /** Maximum number of facts in one heartbeat. */
   readonly maxFacts: number;
-  /** Failed instances that the list no longer names are forgotten after this. */
+  /**
+   * Time after which failed and leaving instances are removed once the platform no
+   * longer lists them, in milliseconds.
+   */
   readonly removeAfterMs: number;
   /**
-   * Number of this run of the instance; a later run needs a higher one, or news
-   * of the earlier run's end would count against it.
+   * Initial incarnation of this run of the instance. It must be higher than that of
+   * earlier runs; otherwise facts about the end of an earlier run would apply to this one.
    */
   readonly incarnation: number;
 }
@@ -61,6 +66,7 @@
   incarnation: 1,
 };
 
+/** With equal incarnations, the state with the higher value overrides the other one. */
 const STATE_PRECEDENCE: Readonly<Record<MemberState, number>> = {
   live: 0,
   suspect: 1,
@@ -71,8 +77,8 @@
 /**
  * Membership of the fleet by random probing with indirect checks.
  *
- * Each period a fixed number of members gets a heartbeat, so the cost per
- * instance does not grow with the fleet; news spreads with the heartbeats.
+ * In each period a limited number of members is sent a heartbeat, so the cost per
+ * instance does not grow with the fleet. Changes spread as facts in the heartbeats.
  * See docs/design/membership.md.
  */
 export class Membership {
@@ -98,34 +104,41 @@
     return [...this.#members.values()];
   }
 
-  /** Members that count as serving; suspects still do until they fail. */
+  /** Members that count as serving; suspects do so until they fail. */
   get serving(): readonly Member[] {
     return this.members.filter(
       ({ state }) => state === 'live' || state === 'suspect',
     );
   }
 
-  /** Sets the own addresses once the ports are known. */
+  /** Sets the addresses of this instance once its ports are known. */
   announce(callerAddress: string, peerAddress: string): void {
     this.self.callerAddress = callerAddress;
     this.self.peerAddress = peerAddress;
   }
 
-  /** Every serving instance, this one first. */
+  /** All serving instances, this one first. */
   get instances(): readonly InstanceId[] {
     return [this.self.instance, ...this.serving.map(({ id }) => id)];
   }
 
-  /** Tells the others with the next heartbeats that this instance stops. */
+  /** Marks this instance as leaving in its next heartbeats. */
   leave(): void {
     this.#leaving = true;
   }
 
-  /** Takes over the platform's list, which lags: it adds and marks, never revives. */
+  /**
+   * Merges the platform's list of instances.
+   *
+   * The list lags behind, so it can add members and mark them as leaving, but cannot
+   * change a failed or leaving member back to live.
+   *
+   * @param list - the complete list
+   */
   onList(list: readonly ListedMember[]): void {
-    const named = new Set(list.map(({ id }) => id));
+    const listedIds = new Set(list.map(({ id }) => id));
     this.#members.forEach(member => {
-      member.listed = named.has(member.id);
+      member.listed = listedIds.has(member.id);
     });
     list
       .filter(({ id }) => id !== this.self.instance)
@@ -142,17 +155,17 @@
   }
 
   /**
-   * Chooses the members for the heartbeats of this period.
+   * Selects the members for the heartbeats of this period.
    *
-   * Members are taken in a shuffled order that is drawn anew when it is used
-   * up, so each is probed within a bounded number of periods. One listed member
-   * that counts as failed is tried as well, which heals a partition.
+   * Members are taken from a shuffled list that is reshuffled when it is used up, so
+   * each one is probed within a bounded number of periods. One failed member that the
+   * platform still lists is included, so that the fleet recovers from a partition.
    */
   targets(): readonly Member[] {
     const chosen: Member[] = [];
     const probeable = this.#probeable().length;
-    const wanted = Math.min(this.options.fanout(this.#members.size), probeable);
-    while (chosen.length < wanted) {
+    const count = Math.min(this.options.fanout(this.#members.size), probeable);
+    while (chosen.length < count) {
       const next = this.#nextTarget();
       if (next && !chosen.includes(next)) {
         chosen.push(next);
@@ -161,36 +174,41 @@
     const failed = this.members.filter(
       ({ state, listed }) => state === 'failed' && listed,
     );
-    const revived = failed[Math.floor(this.random() * failed.length)];
-    return revived ? [...chosen, revived] : chosen;
+    const retried = failed[Math.floor(this.random() * failed.length)];
+    return retried ? [...chosen, retried] : chosen;
   }
 
-  /** Members that can check a suspect from elsewhere. */
+  /**
+   * Selects random members for an indirect check.
+   *
+   * @param except - member to be checked
+   * @param count - maximum number of members
+   */
   helpers(except: InstanceId, count: number): readonly Member[] {
     const others = this.#probeable().filter(({ id }) => id !== except);
     return rotated(others, this.random).slice(0, count);
   }
 
   /**
-   * The next heartbeat of this instance.
+   * Builds the next heartbeat of this instance.
    *
-   * @param state - of the instance
-   * @param tellsNews - false for one that says nothing of other members
+   * @param state - current state of this instance
+   * @param includesFacts - whether the heartbeat carries facts about other members
    */
   message(
     state: Pick<HeartbeatFacts, 'inFlight' | 'revision'>,
-    tellsNews = true,
+    includesFacts = true,
   ): HeartbeatFacts {
     return {
       ...this.self,
       ...state,
       incarnation: this.#incarnation,
       leaving: this.#leaving,
-      facts: tellsNews ? this.#gossip.nextFacts(this.serving) : [],
+      facts: includesFacts ? this.#gossip.nextFacts(this.serving) : [],
     };
   }
 
-  /** Takes in a heartbeat or the reply to one. */
+  /** Processes a heartbeat or the reply to one. */
   onMessage(message: HeartbeatFacts): void {
     const member =
       this.#members.get(message.instance) ??
@@ -207,14 +225,15 @@
     member.inFlight = message.inFlight;
     const state = message.leaving ? 'leaving' : 'live';
     const isNewer = message.incarnation > member.incarnation;
-    // A heartbeat that was written before the leave may come after it. Taken for
-    // a return, callers are sent to an instance that is stopping; who really comes
-    // back has a higher incarnation.
+    // A heartbeat that was written before the leave may arrive after it. If it reset the
+    // state to live, callers would be sent to an instance that is stopping. An instance
+    // that really returns has a higher incarnation.
     const isOutdated = member.state === 'leaving' && state === 'live';
     if (isNewer || (member.state !== 'failed' && !isOutdated)) {
       this.#change(member, state, message.incarnation);
     } else {
-      // It does not know yet that others gave it up; the reply tells it.
+      // The sender does not know yet that it is considered failed or leaving; the reply
+      // carries this fact.
       this.#enqueueGossip(member);
     }
     message.facts.forEach(fact => {
@@ -223,20 +242,24 @@
   }
 
   /**
-   * Takes note that neither direct nor indirect checks reached a member.
+   * Records that neither direct nor indirect checks reached a member.
    *
-   * Guards against suspicion by a paused process: when this instance itself
-   * was held up, its missed replies say nothing about others.
+   * Guards against false suspicion after a process pause: if this instance itself was
+   * stalled, replies that it missed say nothing about the other members.
    */
   onUnreachable(id: InstanceId): void {
     const member = this.#members.get(id);
-    const heldUp = this.clock() - this.#lastTickMs > 2 * this.options.periodMs;
-    if (member?.state === 'live' && !heldUp) {
+    const isStalled =
+      this.clock() - this.#lastTickMs > 2 * this.options.periodMs;
+    if (member?.state === 'live' && !isStalled) {
       this.#change(member, 'suspect', member.incarnation);
     }
   }
 
-  /** Periodic work: suspects that were not refuted fail; old failures go. */
+  /**
+   * Performs the periodic work: suspects that did not refute the suspicion in time
+   * become failed, and failed or leaving members that are no longer listed are removed.
+   */
   tick(): void {
     const nowMs = this.clock();
     const { removeAfterMs } = this.options;
@@ -276,7 +299,7 @@
     }
   }
 
-  /** Others may know instances that this one has never met. */
+  /** Adds an instance that is known only from the facts of others. */
   #addFromFact(fact: MemberFact): void {
     const { instance, incarnation, state, peerAddress } = fact;
     if (state === 'live' && peerAddress !== '') {
@@ -284,13 +307,13 @@
     }
   }
 
-  /** A higher incarnation overrules every suspicion of an earlier one. */
+  /** Raises the incarnation, which overrides every suspicion of an earlier one. */
   #refute(fact: MemberFact): void {
-    const accused =
+    const isContested =
       fact.state === 'suspect' ||
       fact.state === 'failed' ||
       (fact.state === 'leaving' && !this.#leaving);
-    if (accused && fact.incarnation >= this.#incarnation) {
+    if (isContested && fact.incarnation >= this.#incarnation) {
       this.#incarnation = fact.incarnation + 1;
     }
   }
--- a/packages/decisions/src/membership/PeerProbes.ts
+++ b/packages/decisions/src/membership/PeerProbes.ts
@@ -4,32 +4,33 @@
 import type { Member } from './Member.js';
 import type { Membership } from './Membership.js';
 
-/** A question to another instance that has no answer yet. */
+/** A probe of another instance that has not been answered yet. */
 export interface OutstandingProbe {
   readonly address: string;
-  /** Null where it isn't known as a member, as a seed. */
+  /** Null if the instance is not a known member, for example a seed address. */
   readonly member: Member | null;
+  /** Local time at which it was sent, plus any time for which this instance then stalled. */
   askedMs: number;
-  /** When it was sent, whatever has held up this instance since. */
+  /** Local time at which it was sent. */
   readonly sentMs: number;
 }
 
+/** Parameters of the probing. */
 export interface PeerProbeOptions {
   /** Time between rounds, in milliseconds. */
   readonly periodMs: number;
-  /** Time that an answer may take, in milliseconds. */
+  /** Time within which a probe is to be answered, in milliseconds. */
   readonly answerMs: number;
-  /** Questions in a row without an answer until a member is suspected. */
+  /** Consecutive unanswered probes after which a member is suspected. */
   readonly missesToSuspect: number;
 }
 
 /**
- * Tells members that are gone from those whose answers are late or lost.
+ * Distinguishes failed members from those whose answers are late or lost.
  *
- * Questions and answers travel as datagrams, so that asking a member which was
- * never asked before costs no connection. Single ones get lost, and a member
- * with little processor answers late; only several misses in a row without any
- * sign of life make it a suspect.
+ * Probes and answers are datagrams, so that a first probe needs no connection. Single
+ * datagrams get lost, and a member short of CPU time answers late. A member is therefore
+ * suspected only after several consecutive misses without a message of any kind.
  */
 export class PeerProbes {
   readonly #outstanding = new Map<number, OutstandingProbe>();
@@ -46,14 +47,14 @@
   }
 
   /**
-   * Notes a question.
+   * Registers a probe that is about to be sent.
    *
-   * @param address - that it is sent to
-   * @param member - null where it isn't known as a member
-   * @returns the number that its answer repeats
+   * @param address - destination address
+   * @param member - the probed member; null if the address belongs to no known member
+   * @returns number of the probe, which its answer repeats
    */
   ask(address: string, member: Member | null): number {
-    // Zero stands for no question on the wire.
+    // On the wire, 0 means that a message is not a probe.
     this.#lastNumber += 1;
     const sentMs = this.clock();
     this.#outstanding.set(this.#lastNumber, {
@@ -65,47 +66,47 @@
     return this.#lastNumber;
   }
 
-  /** Whether an answer from this address is still awaited. */
+  /** Whether a probe of this address is outstanding. */
   awaits(address: string): boolean {
     return [...this.#outstanding.values()].some(
-      question => question.address === address,
+      probe => probe.address === address,
     );
   }
 
   /**
-   * Notes a message of any kind.
+   * Records a message of any kind.
    *
-   * An answer that comes too late is a sign of life all the same.
+   * Every message resets the misses of its sender, even an answer that arrives too late.
    *
-   * @param from - instance that sent it
-   * @param answerTo - question that it answers; 0 for none
-   * @returns when the question was sent; null where none is open
+   * @param from - instance that sent the message
+   * @param answerTo - number of the probe that it answers; 0 if none
+   * @returns local time at which the probe was sent; null if it is not outstanding
    */
   onHeard(from: InstanceId, answerTo: number): number | null {
-    const question = this.#outstanding.get(answerTo);
+    const probe = this.#outstanding.get(answerTo);
     this.#outstanding.delete(answerTo);
     this.#misses.delete(from);
-    return question?.sentMs ?? null;
+    return probe?.sentMs ?? null;
   }
 
   /**
-   * Begins a round: judges questions whose answers are overdue.
+   * Begins a round and counts the overdue probes as misses.
    *
-   * Must come before the membership's own round. Guards against suspicion by an
-   * instance that was held up itself: answers wait unread behind its timers then,
-   * and time in which it did not run doesn't count against the others.
+   * Must be called before the membership's `tick`. Guards against false suspicion by an
+   * instance that was stalled itself: received answers are then still unread behind its
+   * timers, so the stalled time does not count against other members.
    *
-   * @returns members to ask once more at once; in a large fleet their turn would
-   *   come again only after many seconds
+   * @returns members to probe again at once, because in a large fleet their next regular
+   *   probe may be many seconds away
    */
   beginRound(): readonly Member[] {
     const nowMs = this.clock();
     const { periodMs, answerMs } = this.options;
-    const heldUpMs = Math.max(0, nowMs - this.#lastRoundMs - periodMs);
+    const stalledMs = Math.max(0, nowMs - this.#lastRoundMs - periodMs);
     this.#lastRoundMs = nowMs;
-    const overdue = [...this.#outstanding].filter(([, question]) => {
-      question.askedMs += heldUpMs;
-      return nowMs - question.askedMs > answerMs;
+    const overdue = [...this.#outstanding].filter(([, probe]) => {
+      probe.askedMs += stalledMs;
+      return nowMs - probe.askedMs > answerMs;
     });
     return overdue.flatMap(([number, { member }]) => {
       this.#outstanding.delete(number);
@@ -121,7 +122,7 @@
     }
     this.#misses.delete(member.id);
     this.membership.onUnreachable(member.id);
-    // The next question carries the suspicion, which the suspect can refute.
+    // The next probe tells the member that it is suspected, so that it can refute this.
     return member.state === 'suspect' ? [member] : [];
   }
 }
