--- a/packages/decisions/src/Router.ts
+++ b/packages/decisions/src/Router.ts
@@ -37,19 +37,20 @@
   readonly recovery: RecoveryPolicy;
 }
 
-/** Settings of one router that are no policy. */
+/** Settings of one router, besides its policies. */
 export interface RouterOptions extends RecoveryOptions {
-  /** Servers that one instance uses per pool, at most. */
+  /** Maximum number of servers that one instance uses per pool. */
   readonly subsetSize: number;
-  /** Servers that one instance uses over all pools. */
+  /** Number of servers that one instance uses over all pools. */
   readonly serverBudget: number;
 }
 
+/** Retry-after for a request that waited in the queue for too long. */
 const EXPIRED_RETRY_AFTER_MS = 1000;
 
 /**
- * The decision logic of one instance: a host feeds it events and carries out
- * the effects. It does no I/O and sets no timers; the host calls `tick`.
+ * Decision logic of one instance. A host passes it events and executes its effects. The
+ * router performs no I/O and sets no timers; the host calls `tick` periodically.
  */
 export class Router {
   readonly #admission: AdmissionController;
@@ -82,19 +83,20 @@
     );
   }
 
-  /** @returns whether the configuration is newer and now in force */
+  /** @returns whether the configuration is newer and was applied */
   configure(cfg: Configuration): boolean {
     const changed = this.#configuration.configure(cfg);
     this.#dispatchAll();
     return changed;
   }
 
+  /** Applies a change of the fleet. */
   place(placement: Placement): void {
     this.#configuration.place(placement);
     this.#dispatchAll();
   }
 
-  /** Takes in a validated request; the answer comes through the effects. */
+  /** Submits a validated request; the outcome is reported through the effects. */
   submit(request: RoutedRequest): void {
     if (this.#admission.submit(request)) {
       this.#dispatch.dispatchFromPool(poolKey(request.target));
@@ -102,10 +104,13 @@
   }
 
   /**
-   * Tells of tokens from an attempt.
+   * Reports tokens received from an attempt.
    *
-   * @returns false when the attempt is no longer the current one, so that its
-   *   tokens must not reach the caller
+   * @param id - the request
+   * @param attempt - number of the attempt
+   * @param tokens - number of tokens since the last call; at least 1
+   * @returns false if the attempt is not the current one; its tokens must not reach the
+   *   caller
    */
   onTokens(id: RequestId, attempt: number, tokens: number): boolean {
     const record = this.#currentRecord(id, attempt);
@@ -116,7 +121,11 @@
     return true;
   }
 
-  /** Tells that an attempt delivered its whole answer. */
+  /**
+   * Reports that an attempt delivered its complete response.
+   *
+   * @returns false if the attempt is not the current one
+   */
   onFinished(id: RequestId, attempt: number): boolean {
     const record = this.#currentRecord(id, attempt);
     if (!record) {
@@ -129,7 +138,7 @@
     return true;
   }
 
-  /** Tells that an attempt failed; late news of older attempts is ignored. */
+  /** Reports that an attempt failed; failures of earlier attempts are ignored. */
   onFailed(id: RequestId, attempt: number, failure: AttemptFailure): void {
     const record = this.#currentRecord(id, attempt);
     if (!record) {
@@ -142,7 +151,7 @@
     this.#dispatch.dispatchFromPool(poolKey(record.request.target));
   }
 
-  /** Tells that the caller closed its connection. */
+  /** Reports that the caller closed its connection. */
   onCallerLeft(id: RequestId): void {
     const record = this.board.requests.get(id);
     if (!record || record.state === 'ended') {
@@ -163,11 +172,12 @@
     this.#dispatch.dispatchFromPool(poolKey(record.request.target));
   }
 
+  /** Reports the load of a backend server. */
   onReport(id: BackendServerId, report: LoadReport): void {
     this.#backends.onReport(id, report);
   }
 
-  /** Periodic work; the host calls it about ten times a second. */
+  /** Performs the periodic work; the host calls it about ten times a second. */
   tick(): void {
     this.#backends.tick();
     this.#failSilent();
@@ -257,7 +267,7 @@
     }
   }
 
-  /** Requests that were displaced stand outside the class queues. */
+  /** Updates the counts of the class queue; displaced requests are not part of it. */
   #removeFromQueue(record: RequestRecord): void {
     if (record.attempts > 0) {
       return;
--- a/packages/decisions/src/blackboard/BackendView.ts
+++ b/packages/decisions/src/blackboard/BackendView.ts
@@ -1,19 +1,19 @@
 import type { BackendServer } from '@jujubecroft/types';
 
-/** A load report as the backend server published it; it lags behind. */
+/** A load report published by a backend server; it lags behind the actual load. */
 export interface LoadReport {
-  /** When the backend server took the reading. */
+  /** When the backend server measured the load, in milliseconds. */
   readonly takenAtMs: number;
   readonly running: number;
   readonly waiting: number;
 }
 
-/** What one instance knows of one backend server. */
+/** Local view of one backend server. */
 export interface BackendView {
   server: BackendServer;
-  /** Requests of this instance that are on the server now. */
+  /** Requests of this instance that are in flight on the server. */
   inFlight: number;
-  /** Concurrency that this instance allows itself on the server. */
+  /** Maximum concurrency of this instance on the server. */
   limit: number;
   /** Smoothed time between tokens in milliseconds, as observed by this instance. */
   betweenTokensMs: number;
@@ -23,34 +23,35 @@
   samples: number;
   lastAdaptedAtMs: number;
   report: LoadReport | null;
-  /** Own requests in flight when the report was taken. */
+  /** Requests of this instance in flight when the report was taken. */
   ownAtReport: number;
-  /** Recent own in-flight counts, to line reports up with the past. */
+  /** Recent in-flight counts of this instance, for comparison with delayed reports. */
   readonly history: InFlightSample[];
-  /** Tightest targets of the classes that were sent here, in milliseconds. */
+  /** Strictest latency targets of the classes dispatched to the server, in milliseconds. */
   tightestFirstTokenMs: number;
   tightestBetweenTokensMs: number;
   consecutiveFailures: number;
-  /** No work but probes before this time. */
+  /** Until this time the server receives only probe requests. */
   avoidUntilMs: number;
-  /** Slower than its peers; gets only probes. */
+  /** Whether the server is slower than its peers and receives only probe requests. */
   straggler: boolean;
   lastProbeAtMs: number;
-  /** Prefixes recently sent here, most recent last. */
+  /** Prompt tokens by hash of the prompt prefix, for recent requests; most recent last. */
   readonly prefixes: Map<number, number>;
 }
 
+/** In-flight count of this instance on a server at one point in time. */
 export interface InFlightSample {
   readonly atMs: number;
   readonly inFlight: number;
 }
 
 /**
- * Creates the view of a server about which nothing is known yet.
+ * Creates the view of a server that has not been observed yet.
  *
  * @param server - the declared server
- * @param initialLimit - first guess of the concurrency of this instance there
- * @returns an optimistic view
+ * @param initialLimit - initial maximum concurrency of this instance on the server
+ * @returns a view without load, failures or latency samples
  */
 export function createBackendView(
   server: BackendServer,
--- a/packages/decisions/src/blackboard/Blackboard.ts
+++ b/packages/decisions/src/blackboard/Blackboard.ts
@@ -20,10 +20,10 @@
 import { RequestQueue } from './RequestQueue.js';
 import type { Attempt, RequestRecord } from './RoutedRequest.js';
 
-/** Milliseconds on any monotone scale; virtual in experiments. */
+/** Monotonic clock in milliseconds with an arbitrary origin; virtual in experiments. */
 export type Clock = () => number;
 
-/** A request that is turned away for good. */
+/** Final refusal of a request. */
 export interface Refusal {
   readonly code: ResultCodeId;
   readonly retryAfterMs: number;
@@ -34,7 +34,7 @@
 /** Why an attempt is cancelled. */
 export type CancelReason = 'callerLeft' | 'migrated' | 'silent';
 
-/** What the decision logic asks its host to do. */
+/** Actions that the decision logic asks its host to perform. */
 export interface Effects {
   readonly dispatch: (record: RequestRecord, attempt: Attempt) => void;
   readonly cancel: (
@@ -44,29 +44,29 @@
   ) => void;
   readonly refuse: (record: RequestRecord, refusal: Refusal) => void;
   readonly explain: (event: DecisionEvent) => void;
-  /** Whether somebody reads the candidates of routing decisions now. */
+  /** Whether the candidates of routing decisions are needed by a reader at present. */
   readonly isWatched: () => boolean;
 }
 
-/** Who this instance is and what it knows of the fleet. */
+/** Identity of this instance and its view of the fleet. */
 export interface Placement {
   readonly instance: InstanceId;
   readonly failureDomain: FailureDomainId;
-  /** Live entry instances, this one included. */
+  /** Live instances, including this one. */
   readonly instances: readonly InstanceId[];
 }
 
-/** The state that controllers read and write; one per instance. */
+/** Shared state that the controllers and policies read and write; one per instance. */
 export interface Blackboard {
   readonly clock: Clock;
   readonly random: () => number;
   readonly effects: Effects;
   placement: Placement;
   cfg: Configuration;
-  /** Declared entities by id, made anew with each configuration. */
+  /** Declared entities by id, rebuilt with each configuration. */
   declared: DeclaredEntities;
   readonly backends: Map<BackendServerId, BackendView>;
-  /** Views by pool key, only of servers in the subset of this instance. */
+  /** Views by pool key; contains only servers in the subset of this instance. */
   readonly pools: Map<string, BackendView[]>;
   readonly queues: Map<string, RequestQueue>;
   readonly loads: Map<string, PoolLoad>;
@@ -76,19 +76,19 @@
   readonly retryCredits: Map<ClassId, number>;
 }
 
-/** Entities that every request looks up. */
+/** Indexes of the entities that are looked up for every request. */
 export interface DeclaredEntities {
   readonly organisations: ReadonlyMap<OrganisationId, Organisation>;
-  /** By the SHA-256 of the organisation key. */
+  /** By SHA-256 hash of the organisation's key. */
   readonly organisationsByKey: ReadonlyMap<string, Organisation>;
   readonly requestClasses: ReadonlyMap<ClassId, RequestClass>;
 }
 
 /**
- * Makes the index of a configuration.
+ * Builds the indexes of a configuration.
  *
  * @param cfg - the configuration
- * @returns organisations and request classes by id
+ * @returns organisations by id and by key hash, and request classes by id
  */
 export function indexEntities(cfg: Configuration): DeclaredEntities {
   return {
@@ -100,7 +100,7 @@
   };
 }
 
-/** What a blackboard is created from. */
+/** Dependencies of a {@link Blackboard}. */
 export interface BlackboardOptions {
   readonly clock: Clock;
   readonly random: () => number;
@@ -111,7 +111,7 @@
 /**
  * Creates an empty blackboard.
  *
- * @param options - clock, seeded random source, effects and own placement
+ * @param options - clock, seeded random source, effects and placement of this instance
  * @returns a blackboard without configuration
  */
 export function createBlackboard(options: BlackboardOptions): Blackboard {
@@ -131,7 +131,7 @@
 }
 
 /**
- * Finds the queue of a pool, and makes it at first use.
+ * Finds the queue of a pool, or creates it on first use.
  *
  * @param board - the blackboard
  * @param pool - key made by `poolKey`
@@ -148,7 +148,7 @@
 }
 
 /**
- * Finds the load of a pool, and makes it at first use.
+ * Finds the load of a pool, or creates it on first use.
  *
  * @param board - the blackboard
  * @param pool - key made by `poolKey`
--- a/packages/decisions/src/blackboard/ClassQueue.ts
+++ b/packages/decisions/src/blackboard/ClassQueue.ts
@@ -5,14 +5,16 @@
 import type { RequestRecord } from './RoutedRequest.js';
 
 /**
- * Queue of one class: weighted fair between organisations, first come first
- * served within one. A burst of one organisation therefore delays that
- * organisation, not its neighbours.
+ * Queue of one request class, with weighted fair queueing between organisations and FIFO
+ * order within each. A burst of one organisation therefore delays mainly that
+ * organisation.
  */
 export class ClassQueue {
+  /** Queued requests. */
   length = 0;
+  /** Expected tokens of all queued requests. */
   queuedTokens = 0;
-  /** Work owed to the class under its guaranteed share, in tokens. */
+  /** Service that the class is owed under its guaranteed share, in tokens. */
   credit = 0;
   readonly #organisations = new Map<OrganisationId, OrganisationQueue>();
   readonly #waiting = new Heap<OrganisationQueue>(
@@ -24,65 +26,66 @@
   constructor(readonly rules: RequestClass) {}
 
   push(record: RequestRecord): void {
-    const line = this.#organisationQueueOf(record);
-    line.push(record);
-    line.queuedTokens += record.expectedTokens;
+    const queue = this.#organisationQueueOf(record);
+    queue.push(record);
+    queue.queuedTokens += record.expectedTokens;
     this.length += 1;
     this.queuedTokens += record.expectedTokens;
-    if (!line.waiting) {
-      // An organisation that was idle gains no claim on the past.
-      line.virtualTime = Math.max(line.virtualTime, this.#virtualTime);
-      line.weight = record.weight;
-      line.waiting = true;
-      this.#waiting.push(line);
-      this.#activeWeight += line.weight;
+    if (!queue.waiting) {
+      // An organisation accumulates no credit while it is idle.
+      queue.virtualTime = Math.max(queue.virtualTime, this.#virtualTime);
+      queue.weight = record.weight;
+      queue.waiting = true;
+      this.#waiting.push(queue);
+      this.#activeWeight += queue.weight;
     }
   }
 
+  /** @returns the request to serve next; requests that have ended are skipped */
   peek(): RequestRecord | undefined {
-    let line = this.#waiting.peek();
-    while (line && line.peek() === undefined) {
-      this.#removeEmpty(line);
-      line = this.#waiting.peek();
+    let queue = this.#waiting.peek();
+    while (queue && queue.peek() === undefined) {
+      this.#removeEmpty(queue);
+      queue = this.#waiting.peek();
     }
-    return line?.peek();
+    return queue?.peek();
   }
 
   /** Removes the record that `peek` returned and charges its organisation. */
   shift(): RequestRecord | undefined {
     const record = this.peek();
-    const line = this.#waiting.peek();
-    if (!record || !line) {
+    const queue = this.#waiting.peek();
+    if (!record || !queue) {
       return undefined;
     }
     this.#waiting.pop();
-    line.shift();
-    this.#virtualTime = line.virtualTime;
-    line.virtualTime += record.expectedTokens / line.weight;
+    queue.shift();
+    this.#virtualTime = queue.virtualTime;
+    queue.virtualTime += record.expectedTokens / queue.weight;
     this.release(record);
-    if (line.peek()) {
-      this.#waiting.push(line);
+    if (queue.peek()) {
+      this.#waiting.push(queue);
     } else {
-      this.#deactivate(line);
+      this.#deactivate(queue);
     }
     return record;
   }
 
-  /** Takes a record that ended while queued out of the counts. */
+  /** Subtracts a record that left the queue or ended while queued from the counts. */
   release(record: RequestRecord): void {
-    const line = this.#organisationQueueOf(record);
-    line.queuedTokens -= record.expectedTokens;
+    const queue = this.#organisationQueueOf(record);
+    queue.queuedTokens -= record.expectedTokens;
     this.length -= 1;
     this.queuedTokens -= record.expectedTokens;
   }
 
   /**
-   * Work that goes before a new request of one organisation.
+   * Estimates the work that is served before a new request of an organisation.
    *
-   * @param organisation - whose request arrives
+   * @param organisation - organisation of the new request
    * @param weight - weight of that organisation
-   * @param tokens - expected length of the request
-   * @returns tokens ahead under fair queueing, never more than is queued
+   * @param tokens - expected length of the response, in tokens
+   * @returns tokens ahead under fair queueing; at most the queued tokens
    */
   tokensAhead(
     organisation: OrganisationId,
@@ -100,18 +103,18 @@
     if (known) {
       return known;
     }
-    const line = new OrganisationQueue();
-    this.#organisations.set(organisation, line);
-    return line;
+    const created = new OrganisationQueue();
+    this.#organisations.set(organisation, created);
+    return created;
   }
 
-  #removeEmpty(line: OrganisationQueue): void {
+  #removeEmpty(queue: OrganisationQueue): void {
     this.#waiting.pop();
-    this.#deactivate(line);
+    this.#deactivate(queue);
   }
 
-  #deactivate(line: OrganisationQueue): void {
-    line.waiting = false;
-    this.#activeWeight -= line.weight;
+  #deactivate(queue: OrganisationQueue): void {
+    queue.waiting = false;
+    this.#activeWeight -= queue.weight;
   }
 }
--- a/packages/decisions/src/blackboard/OrganisationQueue.ts
+++ b/packages/decisions/src/blackboard/OrganisationQueue.ts
@@ -1,13 +1,15 @@
 import type { RequestRecord } from './RoutedRequest.js';
 
+/** Removed records after which the array may be compacted. */
 const COMPACT_AFTER_RECORDS = 64;
 
-/** First-in first-out line of one organisation inside one class. */
+/** FIFO queue of one organisation within one class. */
 export class OrganisationQueue {
-  /** Work served so far divided by weight; the smallest is served next. */
+  /** Work served so far divided by the weight; the smallest value is served next. */
   virtualTime = 0;
+  /** Expected tokens of all queued requests. */
   queuedTokens = 0;
-  /** Whether the line stands in the heap of its class. */
+  /** Whether the queue is in the heap of its class. */
   waiting = false;
   weight = 1;
   #records: RequestRecord[] = [];
@@ -17,7 +19,7 @@
     this.#records.push(record);
   }
 
-  /** @returns the first record that is still queued; ended ones are skipped */
+  /** @returns the first record that is still queued; records that ended are removed */
   peek(): RequestRecord | undefined {
     let head = this.#records[this.#headIndex];
     while (head && head.state !== 'queued') {
--- a/packages/decisions/src/blackboard/PoolLoad.ts
+++ b/packages/decisions/src/blackboard/PoolLoad.ts
@@ -5,14 +5,14 @@
 const TIERS: readonly Tier[] = [1, 2, 3, 4];
 const zero = (): PerTier => ({ 1: 0, 2: 0, 3: 0, 4: 0 });
 
-/** Time over which demand is averaged. */
+/** Time constant of the moving average of the demand. */
 const DEMAND_WINDOW_MS = 5000;
 
-/** Demand and use of one pool by tier, as one instance sees them. */
+/** Demand and requests in flight of one pool by tier, for one instance. */
 export class PoolLoad {
-  /** Requests of this instance on servers of the pool. */
+  /** Requests of this instance in flight on servers of the pool. */
   readonly inFlight = zero();
-  /** Smoothed tokens a millisecond that callers ask for, shed ones included. */
+  /** Moving average of the demand in tokens per millisecond, including shed requests. */
   readonly offered = zero();
   #tokensInPeriod = zero();
   #periodStartMs: number;
@@ -21,28 +21,29 @@
     this.#periodStartMs = nowMs;
   }
 
+  /** Adds a request to the demand of its tier. */
   note(tier: Tier, expectedTokens: number): void {
     this.#tokensInPeriod[tier] += expectedTokens;
   }
 
-  /** Closes a period of measurement. */
+  /** Ends a measurement period and updates the averages. */
   updateAverages(nowMs: number): void {
     const elapsedMs = nowMs - this.#periodStartMs;
     if (elapsedMs <= 0) {
       return;
     }
-    const share = 1 - Math.exp(-elapsedMs / DEMAND_WINDOW_MS);
+    const weight = 1 - Math.exp(-elapsedMs / DEMAND_WINDOW_MS);
     TIERS.forEach(tier => {
-      // Starts from nothing, not from its first reading: one early request
-      // would otherwise look like a flood and keep lower tiers out.
+      // The average starts from zero, not from the first sample; otherwise one early
+      // request would look like a burst and block lower tiers.
       const latest = this.#tokensInPeriod[tier] / elapsedMs;
-      this.offered[tier] += share * (latest - this.offered[tier]);
+      this.offered[tier] += weight * (latest - this.offered[tier]);
     });
     this.#tokensInPeriod = zero();
     this.#periodStartMs = nowMs;
   }
 
-  /** Tokens a millisecond asked for by tiers above this one. */
+  /** Demand of the tiers above the given one, in tokens per millisecond. */
   offeredAbove(tier: Tier): number {
     return TIERS.filter(other => other < tier).reduce(
       (sum, other) => sum + this.offered[other],
@@ -50,7 +51,7 @@
     );
   }
 
-  /** Requests in flight of this tier and all below it. */
+  /** Requests in flight of the given tier and all tiers below it. */
   inFlightFrom(tier: Tier): number {
     return TIERS.filter(other => other >= tier).reduce(
       (sum, other) => sum + this.inFlight[other],
--- a/packages/decisions/src/blackboard/RequestQueue.ts
+++ b/packages/decisions/src/blackboard/RequestQueue.ts
@@ -7,31 +7,32 @@
 interface Expiry {
   readonly atMs: number;
   readonly record: RequestRecord;
-  /** Attempts when the wait began; a later wait has an expiry of its own. */
+  /** Number of attempts when the wait began; each later wait has its own expiry. */
   readonly attempts: number;
 }
 
-/** Chooses the class to serve next among those with queued work. */
+/** Chooses the class to serve next. */
 export type OrderingPolicy = (
   classes: readonly ClassQueue[],
 ) => OrderingChoice | undefined;
 
+/** Class to serve next. */
 export interface OrderingChoice {
   readonly queue: ClassQueue;
-  /** The class is served because of its guaranteed share, not its tier. */
+  /** Whether the class is served because of its guaranteed share instead of its tier. */
   readonly guaranteed: boolean;
 }
 
-/** All queued work for one pool of backend servers. */
+/** All queued requests for one pool of backend servers. */
 export class RequestQueue {
-  /** Work that already ran elsewhere and goes first, in order of tier. */
+  /** Requests that were dispatched before; served first, by tier and arrival. */
   readonly #displaced = new Heap<RequestRecord>(
     (a, b) => a.rules.tier - b.rules.tier || a.arrivedAtMs - b.arrivedAtMs,
   );
   readonly #classes = new Map<ClassId, ClassQueue>();
   readonly #expiries = new Heap<Expiry>((a, b) => a.atMs - b.atMs);
 
-  /** @returns queued requests, displaced ones included */
+  /** @returns number of queued requests, including displaced ones */
   get length(): number {
     return this.classes.reduce(
       (sum, queue) => sum + queue.length,
@@ -43,6 +44,7 @@
     return [...this.#classes.values()];
   }
 
+  /** @returns the queue of the record's class; created on first use */
   classQueue(record: RequestRecord): ClassQueue {
     const known = this.#classes.get(record.rules.id);
     if (known) {
@@ -53,18 +55,22 @@
     return queue;
   }
 
+  /** Enqueues a new request in the queue of its class. */
   push(record: RequestRecord): void {
     this.classQueue(record).push(record);
     this.#scheduleExpiry(record, record.arrivedAtMs);
   }
 
+  /** Enqueues a request again that was dispatched before. */
   pushDisplaced(record: RequestRecord, nowMs: number): void {
-    // A stream under way is worth more than its first-token target.
+    // A stream in progress is worth more than its first-token target, so its wait is
+    // limited by the maximum queue time only.
     record.budgetMs = record.rules.maxQueueMs;
     this.#displaced.push(record);
     this.#scheduleExpiry(record, nowMs);
   }
 
+  /** @returns the displaced request to serve next; requests that ended are removed */
   peekDisplaced(): RequestRecord | undefined {
     let head = this.#displaced.peek();
     while (head && head.state !== 'queued') {
@@ -74,15 +80,16 @@
     return head;
   }
 
+  /** Removes the record that `peekDisplaced` returned. */
   shiftDisplaced(): void {
     this.#displaced.pop();
   }
 
   /**
-   * Takes out requests whose bound in the queue has passed.
+   * Returns, once each, the requests that have waited for longer than their budget.
    *
-   * @param nowMs - present time
-   * @returns the expired records, still marked as queued
+   * @param nowMs - current time
+   * @returns the expired records; their state is still `queued`
    */
   takeExpired(nowMs: number): readonly RequestRecord[] {
     const expired: RequestRecord[] = [];
--- a/packages/decisions/src/blackboard/RoutedRequest.ts
+++ b/packages/decisions/src/blackboard/RoutedRequest.ts
@@ -8,33 +8,36 @@
   ServiceId,
 } from '@jujubecroft/types';
 
-/** What a request is addressed to. */
+/** Destination of a request: a model on an engine, or a service. */
 export type Target =
   | { readonly kind: 'engine'; readonly model: ModelId }
   | { readonly kind: 'service'; readonly service: ServiceId };
 
-/** A validated request as the decision logic sees it; no payload. */
+/** A validated request without its payload. */
 export interface RoutedRequest {
   readonly id: RequestId;
   readonly organisation: OrganisationId;
   readonly requestClass: ClassId;
   readonly target: Target;
   readonly promptTokens: number;
-  /** Hash of the leading part of the prompt, the unit of cache affinity. */
+  /** Hash of the prompt prefix, for cache affinity. */
   readonly prefixHash: number;
   readonly maxOutputTokens: number;
   readonly idempotent: boolean;
 }
 
-/** Life of a request inside one instance. */
+/** State of a request within one instance. */
 export type RequestState = 'ended' | 'queued' | 'running';
 
-/** One try at one backend server. Late messages of older tries are told apart by `number`. */
+/**
+ * One dispatch of a request to a backend server. `number` identifies late messages of
+ * earlier attempts.
+ */
 export interface Attempt {
   readonly number: number;
   readonly backendServer: BackendServerId;
   readonly dispatchedAtMs: number;
-  /** Tokens that the caller already holds, so the engine starts behind them. */
+  /** Number of tokens already delivered to the caller, after which the engine resumes. */
   readonly resumeFrom: number;
 }
 
@@ -43,20 +46,24 @@
   readonly request: RoutedRequest;
   readonly rules: RequestClass;
   readonly arrivedAtMs: number;
-  /** Tokens charged to the queue until the true length is known. */
+  /** Estimated length of the response, used until the actual length is known. */
   readonly expectedTokens: number;
+  /** Weight of the organisation in fair queueing. */
   readonly weight: number;
   state: RequestState;
-  /** Longest useful wait in the queue, set at admission. */
+  /** Maximum wait in the queue, in milliseconds; set at admission. */
   budgetMs: number;
+  /** The current attempt; null while the request is queued. */
   attempt: Attempt | null;
+  /** Number of attempts so far, including the current one. */
   attempts: number;
-  /** Failed attempts that may have run. */
+  /** Number of failed attempts that may have run. */
   costlyAttempts: number;
   tokensDelivered: number;
-  /** Whether the present attempt has brought a token. */
+  /** Whether the current attempt has delivered a token. */
   attemptHasTokens: boolean;
   firstTokenAtMs: number | null;
+  /** When the request arrived, was last dispatched, or last delivered tokens. */
   lastProgressAtMs: number;
   /** Backend servers on which an attempt of this request failed. */
   readonly failedOn: Set<BackendServerId>;
--- a/packages/decisions/src/controllers/AdmissionController.ts
+++ b/packages/decisions/src/controllers/AdmissionController.ts
@@ -11,13 +11,19 @@
 import { explain } from '../util/explain.js';
 import { poolKey } from '../util/poolKey.js';
 
-/** Retry credit that each admitted request earns for its class. */
+/** Retries that each admitted request adds to the credit of its class. */
 const RETRY_CREDIT_PER_REQUEST = 0.2;
+/** Maximum credit of a class, in retries. */
 const MAX_RETRY_CREDIT = 60;
+/** Credit of a class before its first request, in retries. */
 const INITIAL_RETRY_CREDIT = 20;
+/** Retry-after for a request whose pool has no backend server. */
 const NO_SERVER_RETRY_AFTER_MS = 1000;
 
-/** Takes requests in: limits, prediction, then the queue. */
+/**
+ * Admits requests to their queues, or refuses them: checks that a backend server exists,
+ * then the predicted wait, then the limits of the organisation.
+ */
 export class AdmissionController {
   constructor(
     private readonly board: Blackboard,
@@ -25,10 +31,10 @@
   ) {}
 
   /**
-   * Admits a request to the queue of its pool or refuses it for good.
+   * Adds a request to the queue of its pool, or refuses it for good.
    *
-   * @param request - validated; its class is declared
-   * @returns the queued record, or null when it was refused
+   * @param request - a validated request whose class is declared
+   * @returns the queued record; null if the request was refused
    */
   submit(request: RoutedRequest): RequestRecord | null {
     const record = this.#recordOf(request);
@@ -51,7 +57,7 @@
     return record;
   }
 
-  /** Tells host and watchers that a request is turned away. */
+  /** Reports a refusal to the host and publishes it as a decision. */
   refuse(record: RequestRecord, refusal: Refusal): void {
     explain(this.board, record, { kind: 'shed', ...refusal });
     this.board.effects.refuse(record, refusal);
@@ -127,15 +133,15 @@
   }
 
   #checkPrediction(record: RequestRecord): Refusal | null {
-    const { admit, ...numbers } = this.admission(record);
+    const { admit, ...prediction } = this.admission(record);
     if (!admit) {
-      return { code: 'targetUnreachable', ...numbers };
+      return { code: 'targetUnreachable', ...prediction };
     }
-    record.budgetMs = numbers.budgetMs;
+    record.budgetMs = prediction.budgetMs;
     explain(this.board, record, {
       kind: 'admitted',
-      predictedWaitMs: numbers.predictedWaitMs,
-      budgetMs: numbers.budgetMs,
+      predictedWaitMs: prediction.predictedWaitMs,
+      budgetMs: prediction.budgetMs,
       expectedTokens: record.expectedTokens,
     });
     return null;
--- a/packages/decisions/src/controllers/BackendController.ts
+++ b/packages/decisions/src/controllers/BackendController.ts
@@ -5,27 +5,33 @@
 import type { ConcurrencyPolicy } from '../policies/concurrency/ConcurrencyPolicy.js';
 import { median } from '../util/median.js';
 
+/** Time between tokens, relative to the median of the pool, above which a server is slow. */
 const STRAGGLER_ENTER_FACTOR = 2;
+/** Ratio at or below which a straggler counts as recovered; lower to avoid flapping. */
 const STRAGGLER_EXIT_FACTOR = 1.5;
+/** Measured servers that a pool needs for the comparison. */
 const MIN_MEASURED_SERVERS = 3;
+/** Time for which in-flight samples are kept. */
 const HISTORY_MS = 5000;
+/** Time for which a server is avoided after its first failure. */
 const INITIAL_AVOID_MS = 250;
+/** Upper bound of that time, which doubles with every further incident. */
 const MAX_AVOID_MS = 15_000;
 
-/** Own requests in flight at a past moment, by the samples taken then. */
+/** Own requests in flight on a server at a past time, according to the samples. */
 function inFlightAt(view: BackendView, atMs: number): number {
   const sample = view.history.findLast(({ atMs: taken }) => taken <= atMs);
   return sample?.inFlight ?? 0;
 }
 
-/** Keeps the views of backend servers: reports, limits, stragglers, failures. */
+/** Maintains the views of backend servers: reports, limits, stragglers and failures. */
 export class BackendController {
   constructor(
     private readonly board: Blackboard,
     private readonly concurrency: ConcurrencyPolicy,
   ) {}
 
-  /** Takes over a load report unless a later one is known. */
+  /** Records a load report unless a newer one is known. */
   onReport(id: BackendServerId, report: LoadReport): void {
     const view = this.board.backends.get(id);
     if (!view || report.takenAtMs <= (view.report?.takenAtMs ?? -Infinity)) {
@@ -36,11 +42,11 @@
   }
 
   /**
-   * Takes note of a failed attempt.
+   * Records a failed attempt.
    *
-   * Guards against a server that fails everything fast and so attracts work:
-   * it is avoided for a time that doubles with each incident. Attempts that
-   * fail together are one incident, since they fall into the same avoided time.
+   * Guards against a server that attracts work because it fails every request quickly:
+   * it is avoided for a time that doubles with each incident. Attempts that fail while
+   * the server is already avoided belong to the same incident.
    */
   onFailure(id: BackendServerId): void {
     const view = this.board.backends.get(id);
@@ -53,7 +59,7 @@
     view.consecutiveFailures += 1;
   }
 
-  /** Periodic work on all views. */
+  /** Performs the periodic work: adapts limits, updates loads, marks stragglers. */
   tick(): void {
     const nowMs = this.board.clock();
     this.board.backends.forEach(view => {
@@ -81,12 +87,12 @@
     if (measured.length < MIN_MEASURED_SERVERS) {
       return;
     }
-    const typical = median(measured.map(view => view.betweenTokensMs));
+    const medianMs = median(measured.map(view => view.betweenTokensMs));
     measured.forEach(view => {
       const factor = view.straggler
         ? STRAGGLER_EXIT_FACTOR
         : STRAGGLER_ENTER_FACTOR;
-      view.straggler = view.betweenTokensMs > typical * factor;
+      view.straggler = view.betweenTokensMs > medianMs * factor;
     });
   }
 }
--- a/packages/decisions/src/controllers/ConfigurationController.ts
+++ b/packages/decisions/src/controllers/ConfigurationController.ts
@@ -8,8 +8,9 @@
 import { evenSubset } from '../subset/evenSubset.js';
 import { poolKey } from '../util/poolKey.js';
 
+/** Lower bound of the initial concurrency limit on a server. */
 const MIN_INITIAL_LIMIT = 2;
-/** Enough for the loss of a failure domain, a straggler and a choice. */
+/** Leaves a choice of servers after the loss of a failure domain and with a straggler. */
 const MIN_SUBSET = 4;
 
 function targetsOf(server: BackendServer): readonly Target[] {
@@ -38,13 +39,13 @@
   return pools;
 }
 
-/** Brings the blackboard in line with configuration and fleet. */
+/** Updates the blackboard when the configuration or the fleet changes. */
 export class ConfigurationController {
   /**
    * @param board - the blackboard
-   * @param subsetSize - servers that one instance uses per pool, at most
-   * @param serverBudget - servers that one instance uses over all pools, unless
-   *   that would leave a pool with fewer than it needs
+   * @param subsetSize - maximum number of servers that one instance uses per pool
+   * @param serverBudget - number of servers that one instance uses over all pools;
+   *   exceeded if a pool would otherwise have too few servers
    */
   constructor(
     private readonly board: Blackboard,
@@ -53,13 +54,13 @@
   ) {}
 
   /**
-   * Takes over a configuration unless a later one is already in force.
+   * Applies a configuration unless the same or a newer one is already in force.
    *
-   * Guards against a stale table reply, peer or snapshot that would revert an
-   * accepted change: revisions only grow, so an equal or lower one is dropped.
+   * Guards against a stale table reply, peer or snapshot that would revert an accepted
+   * change: revisions only increase, so an equal or lower one is ignored.
    *
    * @param cfg - the configuration
-   * @returns whether it is now in force
+   * @returns whether the configuration was applied
    */
   configure(cfg: Configuration): boolean {
     if (cfg.revision <= this.board.cfg.revision) {
@@ -72,7 +73,7 @@
     return true;
   }
 
-  /** Takes over a changed fleet. */
+  /** Applies a change of the fleet. */
   place(placement: Placement): void {
     this.board.placement = placement;
     this.#rebuild();
@@ -113,7 +114,10 @@
     return view;
   }
 
-  /** A removed server keeps its view until the last request on it has ended. */
+  /**
+   * Removes the views of servers that are no longer declared. A server with requests in
+   * flight is marked as leaving and keeps its view until the last request has ended.
+   */
   #dropRemoved(): void {
     const { backends, cfg } = this.board;
     const declared = new Set(cfg.backendServers.map(({ id }) => id));
--- a/packages/decisions/src/controllers/DispatchController.ts
+++ b/packages/decisions/src/controllers/DispatchController.ts
@@ -16,10 +16,10 @@
 import { poolKey } from '../util/poolKey.js';
 
 const MAX_PREFIXES_PER_SERVER = 512;
-/** Requests' worth of credit that a class may save up. */
+/** Maximum credit of a class, as a multiple of its mean queued request. */
 const MAX_CREDIT_REQUESTS = 2;
 
-/** Policies that the dispatch of queued work is made of. */
+/** Policies that control the dispatch of queued requests. */
 export interface DispatchPolicies {
   readonly ordering: OrderingPolicy;
   readonly routing: RoutingPolicy;
@@ -36,7 +36,14 @@
   }
 }
 
-/** Guaranteed shares accrue on all waiting classes and are paid by service. */
+/**
+ * Adds credit for the guaranteed share of each waiting class that was not served, and
+ * deducts the cost from the class that was.
+ *
+ * @param queue - queue of the pool
+ * @param served - class that was served
+ * @param cost - expected tokens of the dispatched request
+ */
 function accrueCredit(queue: RequestQueue, served: ClassQueue, cost: number) {
   queue.classes
     .filter(other => other !== served && other.length > 0)
@@ -49,14 +56,14 @@
   served.credit = Math.max(0, served.credit - cost);
 }
 
-/** Sends queued work to backend servers as room appears. */
+/** Dispatches queued requests to backend servers as slots become free. */
 export class DispatchController {
   constructor(
     private readonly board: Blackboard,
     private readonly policies: DispatchPolicies,
   ) {}
 
-  /** Dispatches from the queue of one pool until no server has room. */
+  /** Dispatches from the queue of one pool until no request can be dispatched. */
   dispatchFromPool(pool: string): void {
     const queue = queueOf(this.board, pool);
     const views = this.board.pools.get(pool) ?? [];
@@ -68,7 +75,7 @@
     }
   }
 
-  /** Chooses a server for a request without sending it. */
+  /** Chooses a server for a request without dispatching it. */
   chooseServer(record: RequestRecord): RoutingChoice {
     const views = this.board.pools.get(poolKey(record.request.target)) ?? [];
     return this.#route(record, views);
@@ -119,7 +126,7 @@
     return true;
   }
 
-  /** Cheap check that spares the full comparison when every server is full. */
+  /** Cheap check that avoids running the routing policy when all servers are full. */
   #hasFreeSlot(record: RequestRecord, views: readonly BackendView[]): boolean {
     const { slots } = this.policies.concurrency;
     return views.some(view => view.inFlight < slots(view, record));
--- a/packages/decisions/src/controllers/ProgressController.ts
+++ b/packages/decisions/src/controllers/ProgressController.ts
@@ -4,18 +4,19 @@
 import { explain } from '../util/explain.js';
 import { smooth } from '../util/smooth.js';
 
+/** Weights of a new sample in the moving averages of the latencies. */
 const BETWEEN_TOKENS_WEIGHT = 0.05;
 const FIRST_TOKEN_WEIGHT = 0.1;
 
-/** Follows running requests and learns from their latency. */
+/** Tracks the progress of running requests and updates the latency averages of servers. */
 export class ProgressController {
   constructor(private readonly board: Blackboard) {}
 
   /**
-   * Takes note of tokens that reached the caller.
+   * Records tokens that reached the caller.
    *
    * @param record - the running request
-   * @param tokens - tokens since the last call, at least 1
+   * @param tokens - number of tokens since the last call; at least 1
    */
   onTokens(record: RequestRecord, tokens: number): void {
     const nowMs = this.board.clock();
@@ -35,7 +36,7 @@
     record.lastProgressAtMs = nowMs;
   }
 
-  /** Takes note of the end of a whole answer. */
+  /** Records the end of a complete response. */
   onFinished(record: RequestRecord): void {
     const { board } = this;
     const { request, rules } = record;
--- a/packages/decisions/src/controllers/RecoveryController.ts
+++ b/packages/decisions/src/controllers/RecoveryController.ts
@@ -12,19 +12,28 @@
 import type { BackendController } from './BackendController.js';
 import type { DispatchController } from './DispatchController.js';
 
-/** When a running request counts as silent or as worth moving. */
+/** Which running requests are cancelled and dispatched again. */
 export interface RecoveryOptions {
+  /** Whether attempts without progress are treated as failed. */
   readonly detectSilence: boolean;
+  /** Whether requests are moved from stragglers to faster servers. */
   readonly migrateFromStragglers: boolean;
 }
 
+/** Minimum silence after the first token. */
 const MIN_SILENCE_MS = 750;
+/** Silence after the first token, as a multiple of the server's time between tokens. */
 const SILENCE_GAP_FACTOR = 10;
+/** Minimum silence before the first token. */
 const MIN_FIRST_TOKEN_SILENCE_MS = 2000;
+/** Silence before the first token, as a multiple of the server's time to first token. */
 const FIRST_TOKEN_SILENCE_FACTOR = 4;
+/** Silence of a service, as a multiple of the first-token target of the class. */
 const SERVICE_SILENCE_FACTOR = 8;
 const MIN_SERVICE_SILENCE_MS = 5000;
+/** Remaining tokens below which a request is not worth migrating. */
 const MIN_TOKENS_LEFT_TO_MIGRATE = 24;
+/** Number of attempts from which a request is not migrated any more. */
 const MAX_ATTEMPTS_TO_MIGRATE = 2;
 
 function failureCode(
@@ -37,7 +46,7 @@
   return failure.ran === 'no' ? 'backendNotRun' : 'backendMaybeRan';
 }
 
-/** Deals with attempts that failed, fell silent or crawl. */
+/** Handles attempts that failed, make no progress or run on a straggler. */
 export class RecoveryController {
   constructor(
     private readonly board: Blackboard,
@@ -48,11 +57,11 @@
   ) {}
 
   /**
-   * Resumes, retries or ends a request whose attempt failed.
+   * Resumes, retries or fails a request whose attempt failed.
    *
-   * @param record - the request; its attempt no longer occupies the server
-   * @param failure - what is certain about the failure
-   * @returns whether the request goes on
+   * @param record - the request; the slot of its attempt is already free
+   * @param failure - what is known about the failure
+   * @returns whether the request was queued again
    */
   onFailed(record: RequestRecord, failure: AttemptFailure): boolean {
     const { board } = this;
@@ -73,7 +82,7 @@
     return true;
   }
 
-  /** @returns running requests whose attempt made no progress for too long */
+  /** @returns running requests whose attempt has made no progress for too long */
   findSilent(): readonly RequestRecord[] {
     if (!this.options.detectSilence) {
       return [];
@@ -84,7 +93,7 @@
     );
   }
 
-  /** @returns running requests on stragglers that a faster server could take over */
+  /** @returns running requests on stragglers that another server can take over */
   findMigratable(): readonly RequestRecord[] {
     if (!this.options.migrateFromStragglers) {
       return [];
@@ -92,7 +101,7 @@
     return this.#running().filter(record => this.#isMigratable(record));
   }
 
-  /** Puts a request that left a straggler back in line. */
+  /** Queues a request again whose attempt on a straggler was cancelled. */
   requeueMigrated(record: RequestRecord): void {
     this.#requeue(record);
   }
@@ -158,9 +167,11 @@
   }
 
   /**
-   * A connection can stay open while nothing comes through it any more, so
-   * silence is judged by progress: against the pace of the server once tokens
-   * flow, against the target before the first one.
+   * Time without progress after which an attempt counts as silent, in milliseconds.
+   *
+   * A connection can stay open although no data arrives any more, so silence is detected
+   * by lack of progress. The bound depends on the server's time between tokens after the
+   * first token, and on the latency target and the server's time to first token before it.
    */
   #silenceBoundMs(record: RequestRecord): number {
     const { rules, request, attempt } = record;
--- a/packages/decisions/src/createRouter.ts
+++ b/packages/decisions/src/createRouter.ts
@@ -12,6 +12,7 @@
 /** Builds the policies of a router on its blackboard. */
 export type PolicyFactory = (board: Blackboard) => RouterPolicies;
 
+/** Settings used when none are given to {@link createRouter}. */
 export const DEFAULT_ROUTER_OPTIONS: RouterOptions = {
   subsetSize: 24,
   serverBudget: 96,
@@ -20,9 +21,9 @@
 };
 
 /**
- * The policies that ship as the default.
+ * Creates the default policies.
  *
- * @param board - the blackboard of the router
+ * @param board - blackboard of the router
  * @returns one policy of each kind
  */
 export function defaultPolicies(board: Blackboard): RouterPolicies {
@@ -38,9 +39,9 @@
 /**
  * Creates the decision logic of one instance.
  *
- * @param options - clock, seeded random source, effects, placement
- * @param policies - builds the policies; the default ones where omitted
- * @param routerOptions - settings that are no policy
+ * @param options - clock, seeded random source, effects and placement
+ * @param policies - creates the policies
+ * @param routerOptions - settings besides the policies
  * @returns a router without configuration
  */
 export function createRouter(
--- a/packages/decisions/src/util/byHash.ts
+++ b/packages/decisions/src/util/byHash.ts
@@ -1,6 +1,6 @@
 import murmurhash from 'murmurhash';
 
-/** An id with its hash, for those that are compared again and again. */
+/** An id with its precomputed hash, for ids that are compared repeatedly. */
 export interface HashedId {
   readonly id: string;
   readonly hash: number;
@@ -12,18 +12,18 @@
 }
 
 /**
- * Compares ids by their hash, for an order that all instances agree on without
- * talking and that has nothing to do with names.
+ * Compares ids by their hash. The order is the same on all instances without
+ * coordination and does not depend on naming schemes.
  *
- * @param a - one id, hashed before
- * @param b - another
- * @returns negative where the first comes first; equal hashes go by name
+ * @param a - first id with its hash
+ * @param b - second id with its hash
+ * @returns a negative number if the first id comes first; equal hashes are ordered by id
  */
 export function byHashed(a: HashedId, b: HashedId): number {
   return a.hash - b.hash || (a.id < b.id ? -1 : 1);
 }
 
-/** The same order for ids that are compared only now and then. */
+/** Same order as {@link byHashed}, for ids that are compared rarely. */
 export function byHash(a: string, b: string): number {
   return byHashed(hashed(a), hashed(b));
 }
--- a/packages/decisions/src/util/explain.ts
+++ b/packages/decisions/src/util/explain.ts
@@ -4,11 +4,11 @@
 import type { RequestRecord } from '../blackboard/RoutedRequest.js';
 
 /**
- * Publishes a decision together with the request it concerns.
+ * Publishes a decision about a request.
  *
- * @param board - the blackboard whose clock and effects are used
+ * @param board - blackboard that provides clock, instance and effects
  * @param record - the request
- * @param decision - what was decided and from which numbers
+ * @param decision - the decision and the values that it is based on
  */
 export function explain(
   board: Blackboard,
--- a/packages/decisions/src/util/median.ts
+++ b/packages/decisions/src/util/median.ts
@@ -1,7 +1,7 @@
 /**
- * Lower median of unsorted numbers.
+ * Computes the lower median of unsorted numbers.
  *
- * @param values - the numbers; not changed
+ * @param values - the numbers; not modified
  * @returns the median, or 0 for an empty list
  */
 export function median(values: readonly number[]): number {
--- a/packages/decisions/src/util/poolKey.ts
+++ b/packages/decisions/src/util/poolKey.ts
@@ -1,9 +1,9 @@
 import type { Target } from '../blackboard/RoutedRequest.js';
 
 /**
- * Names the pool of backend servers that can answer a target.
+ * Computes the key of the pool of backend servers that serve a target.
  *
- * @param target - model or plain service
+ * @param target - model or service
  * @returns a key that is equal for equal targets
  */
 export function poolKey(target: Target): string {
--- a/packages/decisions/src/util/rotated.ts
+++ b/packages/decisions/src/util/rotated.ts
@@ -1,9 +1,9 @@
 /**
- * Begins a list at a random place, so that taking from its front is fair.
+ * Rotates a list by a random offset, so that taking items from its front is fair.
  *
  * @param items - the list
- * @param random - draws from [0, 1)
- * @returns all items, in the same order but for the place of the cut
+ * @param random - random numbers from [0, 1)
+ * @returns all items in the same cyclic order
  */
 export function rotated<T>(
   items: readonly T[],
--- a/packages/decisions/src/util/smooth.ts
+++ b/packages/decisions/src/util/smooth.ts
@@ -1,15 +1,15 @@
 /**
- * Exponentially weighted moving average that starts at its first observation.
+ * Updates an exponentially weighted moving average that starts at its first sample.
  *
- * @param current - present average; 0 means that nothing was observed
- * @param observed - the new observation
- * @param share - weight of the new observation, between 0 and 1
+ * @param current - current average; 0 if there are no samples yet
+ * @param observed - the new sample
+ * @param weight - weight of the new sample, between 0 and 1
  * @returns the new average
  */
 export function smooth(
   current: number,
   observed: number,
-  share: number,
+  weight: number,
 ): number {
-  return current === 0 ? observed : current + share * (observed - current);
+  return current === 0 ? observed : current + weight * (observed - current);
 }
