--- a/packages/decisions/tests/Router.fuzz.test.ts
+++ b/packages/decisions/tests/Router.fuzz.test.ts
@@ -6,19 +6,20 @@
 
 const CLASSES = ['gold', 'silver', 'bronze', 'once'] as const;
 
-/** What the caller of each request has seen, kept apart from the router. */
+/** What the caller of a request has observed, recorded independently of the router. */
 interface CallerView {
   readonly idempotent: boolean;
   tokens: number;
   ended: boolean;
-  /** Attempts that may have run at a backend server. */
+  /** Number of attempts that may have run on a backend server. */
   mayHaveRun: number;
 }
 
-/** The router with an oracle of the promises beside it. */
+/** A router with an oracle that checks its guarantees after every event. */
 class RouterWithOracle {
   readonly fixture = new RouterFixture();
   readonly seen = new Map<RequestId, CallerView>();
+  /** Violated guarantees. */
   readonly faults: string[] = [];
   #checked = 0;
   #refusals = 0;
@@ -35,7 +36,7 @@
     this.check();
   }
 
-  /** Picks any attempt ever made, so that late news is part of the game. */
+  /** Picks any attempt ever made, so that late events of old attempts occur as well. */
   attempt(pick: number) {
     const { dispatched } = this.fixture;
     return dispatched[pick % Math.max(1, dispatched.length)];
@@ -107,7 +108,7 @@
     this.check();
   }
 
-  /** The oracle: holds new effects against what each caller has seen. */
+  /** The oracle: compares new effects with what each caller has observed. */
   check(): void {
     const { dispatched, refused } = this.fixture;
     dispatched.slice(this.#checked).forEach(({ id, attempt }) => {
@@ -146,6 +147,7 @@
     this.checkCounts();
   }
 
+  /** Checks that the in-flight counts match the running requests. */
   checkCounts(): void {
     const { backends, requests } = this.fixture.router.board;
     const running = [...requests.values()].filter(r => r.state === 'running');
@@ -159,29 +161,29 @@
   }
 }
 
-type Step = (world: RouterWithOracle) => void;
+type Step = (router: RouterWithOracle) => void;
 
 const pick = fc.nat({ max: 200 });
 const step: fc.Arbitrary<Step> = fc.oneof(
-  fc.constantFrom(...CLASSES).map(name => (world: RouterWithOracle) => {
-    world.submit(name);
+  fc.constantFrom(...CLASSES).map(name => (router: RouterWithOracle) => {
+    router.submit(name);
   }),
-  pick.map(n => (world: RouterWithOracle) => {
-    world.tokens(n);
+  pick.map(n => (router: RouterWithOracle) => {
+    router.tokens(n);
   }),
-  pick.map(n => (world: RouterWithOracle) => {
-    world.finish(n);
+  pick.map(n => (router: RouterWithOracle) => {
+    router.finish(n);
   }),
   fc
     .tuple(pick, fc.constantFrom('maybe' as const, 'no' as const))
-    .map(([n, ran]) => (world: RouterWithOracle) => {
-      world.fail(n, ran);
+    .map(([n, ran]) => (router: RouterWithOracle) => {
+      router.fail(n, ran);
     }),
-  pick.map(n => (world: RouterWithOracle) => {
-    world.leave(n);
+  pick.map(n => (router: RouterWithOracle) => {
+    router.leave(n);
   }),
-  fc.constantFrom(100, 700, 2500).map(ms => (world: RouterWithOracle) => {
-    world.advance(ms);
+  fc.constantFrom(100, 700, 2500).map(ms => (router: RouterWithOracle) => {
+    router.advance(ms);
   }),
 );
 
@@ -190,15 +192,15 @@
 const MAX_STEPS = 120;
 
 describe('Router under any order of events', ({ it }) => {
-  it('keeps the promises of the oracle', t => {
+  it('violates no guarantee that the oracle checks', t => {
     const property = fc.property(
       fc.array(step, { maxLength: MAX_STEPS }),
       steps => {
-        const world = new RouterWithOracle();
+        const router = new RouterWithOracle();
         steps.forEach(run => {
-          run(world);
+          run(router);
         });
-        return world.faults.length === 0;
+        return router.faults.length === 0;
       },
     );
     const result = fc.check(property, { seed: SEED, numRuns: RUNS });
--- a/packages/decisions/tests/Router.test.ts
+++ b/packages/decisions/tests/Router.test.ts
@@ -12,9 +12,9 @@
 
 describe('Router', suite => {
   suite.describe('failed attempts', ({ it }) => {
-    it('resumes a cut stream elsewhere from the delivered tokens', t => {
-      // A chef sees an answer stop in the middle. The engine crashed after five
-      // tokens; the instance knows them and must go on behind them elsewhere.
+    // Guards against a response that stops in the middle because its engine crashed. The
+    // instance knows the five delivered tokens and has to resume after them.
+    it('resumes a cut stream on another server after the delivered tokens', t => {
       const fixture = new RouterFixture();
       const id = fixture.submit();
       const first = fixture.attemptOf(id);
@@ -26,9 +26,9 @@
       t.deepEqual(fixture.refused, []);
     });
 
-    it('ignores tokens of an attempt that was superseded', t => {
-      // A caller gets tokens twice. The old engine was only slow, its tokens
-      // arrive after the stream went on elsewhere: late answers must not mix.
+    // Guards against tokens that a caller gets twice: the first engine was only slow, and
+    // its tokens arrive after the stream was resumed on another one.
+    it('ignores tokens of a superseded attempt', t => {
       const fixture = new RouterFixture();
       const id = fixture.submit();
       const first = fixture.attemptOf(id);
@@ -51,13 +51,23 @@
         failure: REFUSED,
         again: true,
       },
-      { name: 'once, not run', cls: 'once', failure: REFUSED, again: true },
-      { name: 'once, maybe ran', cls: 'once', failure: BROKEN, again: false },
+      {
+        name: 'non-idempotent, not run',
+        cls: 'once',
+        failure: REFUSED,
+        again: true,
+      },
+      {
+        name: 'non-idempotent, maybe ran',
+        cls: 'once',
+        failure: BROKEN,
+        again: false,
+      },
     ] as const;
     cases.forEach(({ name, cls, failure, again }) => {
-      it(`${again ? 'sends again' : 'refuses'}: ${name}`, t => {
-        // A price is changed twice at the shop. The connection broke after the
-        // call was sent, and it was sent again although it had run.
+      // Guards against a non-idempotent request that runs twice, because it was sent again
+      // after its connection broke although it had run.
+      it(`${again ? 'retries' : 'refuses'} a failed request: ${name}`, t => {
         const fixture = new RouterFixture();
         const id = fixture.submit(cls);
         fixture.router.onFailed(id, fixture.attemptOf(id).number, failure);
@@ -69,9 +79,9 @@
       });
     });
 
-    it('finds the one healthy server among many that are down', t => {
-      // A costing is refused although an engine is free. A power cut took nine
-      // of ten engines, and the first four that were tried ended the request.
+    // Guards against a request that fails although an engine is free: nine of ten engines
+    // are down after a power cut, and the first four failed attempts ended the request.
+    it('reaches the one healthy server among many that are down', t => {
       const names = Array.from({ length: 10 }, (_, index) => `e${index}`);
       const backendServers = names.map(name => engine(name));
       const fixture = new RouterFixture(configuration({ backendServers }));
@@ -86,9 +96,9 @@
       t.deepEqual(fixture.refused, []);
     });
 
-    it('stops retrying when the budget of the class is spent', t => {
-      // An outage of one engine becomes an outage of all: every failure causes
-      // three more calls. The budget per class bounds what retries may add.
+    // Guards against the outage of one engine overloading the others: every failure
+    // caused three more calls. The budget per class limits the load that retries add.
+    it('does not retry when the retry budget of the class is used up', t => {
       const fixture = new RouterFixture();
       fixture.router.board.retryCredits.set(requestClass('gold', 1).id, 0);
       const id = fixture.submit();
@@ -98,9 +108,9 @@
       t.is(fixture.refused[0]?.refusal.code, 'backendMaybeRan');
     });
 
-    it('moves a silent stream to another server', t => {
-      // A tablet shows a draft that stops growing while new requests work. The
-      // connection lost its state on the way and stays open for good.
+    // Guards against a stream that stops for good while new requests work: its connection
+    // lost its state on the network path but stays open.
+    it('resumes a silent stream on another server', t => {
       const fixture = new RouterFixture();
       const id = fixture.submit();
       const first = fixture.attemptOf(id);
@@ -110,8 +120,9 @@
       t.is(fixture.attemptOf(id).resumeFrom, 3);
     });
 
-    it('avoids a failed server for a while, once per incident', t => {
-      // New work keeps failing at a crashed engine, because it is the emptiest.
+    // Guards against new requests that keep failing on a crashed engine because it has
+    // the fewest requests in flight.
+    it('avoids a failed server, counting concurrent failures as one incident', t => {
       const fixture = new RouterFixture();
       const ids = [fixture.submit(), fixture.submit(), fixture.submit()];
       const target = fixture.attemptOf(
@@ -129,9 +140,9 @@
   });
 
   suite.describe('shedding', ({ it }) => {
+    // Guards against an urgent request that is refused while less urgent ones are served:
+    // with all slots in use, it has to wait and get the next free slot.
     it('keeps a waiting tier-1 request and serves it first', t => {
-      // A chef's costing is refused while lookups go on. It waits behind a full
-      // fleet; the next free slot must be its own.
       const fixture = new RouterFixture();
       const running = fixture.fill('bronze');
       fixture.submit('bronze');
@@ -150,7 +161,7 @@
       );
     });
 
-    it('refuses at once with a retry-after when the target is out of reach', t => {
+    it('refuses requests at once, with a retry-after, if their target is unreachable', t => {
       const fixture = new RouterFixture();
       fixture.fill('silver');
       Array.from({ length: 200 }, () => fixture.submit('silver'));
@@ -161,7 +172,7 @@
       t.true(shed.every(({ refusal }) => refusal.retryAfterMs >= 1000));
     });
 
-    it('drops queued work when its bound has passed, before it costs anything', t => {
+    it('refuses queued requests whose maximum wait has passed, without dispatch', t => {
       const fixture = new RouterFixture();
       fixture.fill('gold');
       const waiting = Array.from({ length: 8 }, () => fixture.submit('gold'));
@@ -180,8 +191,8 @@
     });
   });
 
-  suite.describe('leaving', ({ it }) => {
-    it('gives a leaving server no new work', t => {
+  suite.describe('leaving and configuration', ({ it }) => {
+    it('dispatches no new requests to a leaving server', t => {
       const fixture = new RouterFixture();
       const cfg = configuration();
       fixture.router.configure({
@@ -201,9 +212,9 @@
       );
     });
 
-    it('never goes back to an older configuration', t => {
-      // A drained engine gets work again. A peer that was cut off for an hour
-      // answers with the configuration it still holds.
+    // Guards against a drained engine that gets requests again: a peer that was cut off for
+    // an hour answers with an outdated configuration.
+    it('does not revert to an older configuration', t => {
       const fixture = new RouterFixture();
       const cfg = configuration();
       t.true(fixture.router.configure({ ...cfg, revision: 5 }));
@@ -212,7 +223,7 @@
       t.is(fixture.router.board.cfg.revision, 5);
     });
 
-    it('cancels at the engine when the caller goes', t => {
+    it('cancels the attempt when the caller disconnects', t => {
       const fixture = new RouterFixture();
       const id = fixture.submit();
       fixture.router.onCallerLeft(id);
@@ -223,8 +234,8 @@
     });
   });
 
-  suite.describe('explanations', ({ it }) => {
-    it('tells each decision with the numbers it was made from', t => {
+  suite.describe('decision events', ({ it }) => {
+    it('publishes each decision with the values that it is based on', t => {
       const fixture = new RouterFixture();
       const id = fixture.submit();
       fixture.finish(id, 3);
--- a/packages/decisions/tests/blackboard/ClassQueue.test.ts
+++ b/packages/decisions/tests/blackboard/ClassQueue.test.ts
@@ -6,7 +6,7 @@
 import type { RequestRecord } from '../../src/blackboard/RoutedRequest.js';
 import { requestClass, RouterFixture } from '../helpers/RouterFixture.js';
 
-/** Takes a real record, so that the test needs no copy of its shape. */
+/** Creates a record through the router, so that the test does not duplicate its shape. */
 function recordOf(
   organisation: string,
   tokens: number,
@@ -34,9 +34,9 @@
   Array.from({ length: count }, () => String(queue.shift()?.request.id));
 
 describe('ClassQueue', ({ it }) => {
-  it('lets a burst of one organisation cost its own requests first', t => {
-    // A small bakery waits minutes for one answer. A hotel chain sent forty
-    // requests just before, and first come first served put all of them ahead.
+  // Guards against FIFO order between organisations: one request would wait behind the
+  // whole burst that another organisation sent just before.
+  it('does not delay other organisations by a burst of one', t => {
     const queue = new ClassQueue(requestClass('gold', 1));
     Array.from({ length: 40 }, () => recordOf('hotel', 100)).forEach(record => {
       queue.push(record);
@@ -57,20 +57,20 @@
     t.is(heavy, 20);
   });
 
-  it('skips requests that ended while they waited', t => {
+  it('skips requests that ended while queued', t => {
     const queue = new ClassQueue(requestClass('gold', 1));
-    const gone = recordOf('a', 10);
-    queue.push(gone);
+    const ended = recordOf('a', 10);
+    queue.push(ended);
     queue.push(recordOf('b', 10));
-    gone.state = 'ended';
-    queue.release(gone);
+    ended.state = 'ended';
+    queue.release(ended);
     t.is(queue.length, 1);
     t.deepEqual(served(queue, 1), ['b']);
     t.is(queue.queuedTokens, 0);
     t.is(queue.shift(), undefined);
   });
 
-  it('predicts for a quiet organisation only its fair part of the queue', t => {
+  it('predicts a wait by fair share for an organisation without queued requests', t => {
     const queue = new ClassQueue(requestClass('gold', 1));
     Array.from({ length: 50 }, () => recordOf('hotel', 100)).forEach(r => {
       queue.push(r);
--- a/packages/decisions/tests/duties/HolderLease.test.ts
+++ b/packages/decisions/tests/duties/HolderLease.test.ts
@@ -11,7 +11,7 @@
 } from '../gateway/helpers/gatewayFixture.js';
 
 const LEASE_MS = 3000;
-const FACTS: LeaseInputs = {
+const INPUTS: LeaseInputs = {
   rank: () => 0,
   news: null,
   notes: NO_NOTES,
@@ -28,14 +28,14 @@
   });
 }
 
-/** A lease that has just been taken from nobody. */
-function takenBy(
+/** A lease that was acquired without a previous holder. */
+function acquiredBy(
   name: string,
   clock: ManualClock,
 ): { lease: HolderLease; holding: Holding } {
   const lease = leaseOf(name, clock);
   lease.onRead({ version: 0, holding: null }, clock.now());
-  const step = lease.next(FACTS);
+  const step = lease.next(INPUTS);
   if (step.kind !== 'write') {
     throw new Error(`expected a write, got ${step.kind}`);
   }
@@ -44,102 +44,109 @@
 }
 
 describe('HolderLease', ({ it, describe: inner }) => {
-  inner('of the holder', ({ it: holds }) => {
-    holds('ends on its own clock before others may take over', t => {
+  inner('at the holder', ({ it: holds }) => {
+    holds('ends on the clock of the holder before others may take over', t => {
       const clock = manualClock();
-      const { lease, holding } = takenBy('a', clock);
+      const { lease, holding } = acquiredBy('a', clock);
       t.is(lease.token, 1);
       clock.advance(LEASE_MS - 400);
       t.is(lease.token, null);
       t.true(holding.untilMs > clock.now());
     });
 
-    holds('is renewed in time under the same token', t => {
+    holds('is renewed before it expires, under the same token', t => {
       const clock = manualClock();
-      const { lease } = takenBy('a', clock);
+      const { lease } = acquiredBy('a', clock);
       clock.advance(1000);
-      const step = lease.next(FACTS);
+      const step = lease.next(INPUTS);
       t.true(step.kind === 'write' && step.write.holding.token === 1);
     });
 
-    // Guards against a call without an answer that takes back a later one.
-    holds('takes a new token where a call may be carried out late', t => {
+    // Guards against an unanswered call that is executed late and undoes a newer one.
+    holds('takes a new token with the next write when one is requested', t => {
       const clock = manualClock();
-      const { lease } = takenBy('a', clock);
+      const { lease } = acquiredBy('a', clock);
       lease.renumber();
-      const step = lease.next(FACTS);
+      const step = lease.next(INPUTS);
       t.true(step.kind === 'write' && step.write.holding.token === 2);
     });
 
-    // Guards against acting on a lease that ended while the machine stood still.
-    holds('does not act after it stood still until it has read', t => {
+    // Guards against acting on a lease that expired while the machine was paused.
+    holds('has no token after it was dropped until the row was read', t => {
       const clock = manualClock();
-      const { lease } = takenBy('a', clock);
+      const { lease } = acquiredBy('a', clock);
       lease.drop();
       t.is(lease.token, null);
     });
 
-    holds('lets the next one begin where it gives up', t => {
+    holds('can be taken over at once after the holder released it', t => {
       const clock = manualClock();
-      const { lease } = takenBy('a', clock);
-      const step = lease.next({ ...FACTS, givesUp: true });
+      const { lease } = acquiredBy('a', clock);
+      const step = lease.next({ ...INPUTS, givesUp: true });
       t.true(step.kind === 'write' && step.write.holding.released);
       if (step.kind === 'write') {
         lease.onWritten(step.write, 2, clock.now());
         clock.advance(10);
         const next = leaseOf('b', clock);
         next.onRead({ version: 2, holding: step.write.holding }, clock.now());
-        t.is(next.next(FACTS).kind, 'write');
+        t.is(next.next(INPUTS).kind, 'write');
       }
       t.is(lease.token, null);
     });
   });
 
-  inner('of another instance', ({ it: waits }) => {
-    waits('is not taken before it has run out', t => {
+  inner('at another instance', ({ it: waits }) => {
+    waits('is not taken over before it has expired', t => {
       const clock = manualClock();
-      const { holding } = takenBy('a', clock);
+      const { holding } = acquiredBy('a', clock);
       const other = leaseOf('b', clock);
       clock.advance(LEASE_MS - 10);
       other.onRead({ version: 1, holding }, clock.now());
-      t.is(other.next(FACTS).kind, 'idle');
+      t.is(other.next(INPUTS).kind, 'idle');
     });
 
-    waits('is taken under a higher token, with the notes', t => {
-      const clock = manualClock();
-      const { holding } = takenBy('a', clock);
-      const other = leaseOf('b', clock);
-      clock.advance(LEASE_MS + 10);
-      const notes = { ...NO_NOTES, reportedThrough: 7 };
-      other.onRead({ version: 1, holding: { ...holding, notes } }, clock.now());
-      const step = other.next(FACTS);
-      t.true(step.kind === 'write' && step.write.holding.token === 2);
-      t.true(
-        step.kind === 'write' && step.write.holding.notes.reportedThrough === 7,
-      );
-    });
+    waits(
+      'is taken over with a higher token and the notes of the holder',
+      t => {
+        const clock = manualClock();
+        const { holding } = acquiredBy('a', clock);
+        const other = leaseOf('b', clock);
+        clock.advance(LEASE_MS + 10);
+        const notes = { ...NO_NOTES, reportedThrough: 7 };
+        other.onRead(
+          { version: 1, holding: { ...holding, notes } },
+          clock.now(),
+        );
+        const step = other.next(INPUTS);
+        t.true(step.kind === 'write' && step.write.holding.token === 2);
+        t.true(
+          step.kind === 'write' &&
+            step.write.holding.notes.reportedThrough === 7,
+        );
+      },
+    );
 
-    // Guards against a fleet that presses the store when the holder is gone.
-    waits('is looked at by one candidate after the other', t => {
+    // Guards against all instances reading the store at once when the holder is gone.
+    waits('is read by the candidates one after another, by rank', t => {
       const clock = manualClock();
-      const { holding } = takenBy('a', clock);
+      const { holding } = acquiredBy('a', clock);
       const news = { ...holding, decidedThrough: 0 };
       clock.advance(LEASE_MS + 300);
       const dueAt = [0, 1, 2, 5, 60].filter(
         rank =>
-          leaseOf('b', clock).next({ ...FACTS, rank: () => rank, news })
+          leaseOf('b', clock).next({ ...INPUTS, rank: () => rank, news })
             .kind === 'read',
       );
       t.deepEqual(dueAt, [0]);
     });
   });
 
-  it('takes over from itself after a restart, under a token of its own', t => {
+  it('is taken over by a restarted holder at once, with a new token', t => {
     const clock = manualClock();
-    const { holding } = takenBy('a', clock);
+    const { holding } = acquiredBy('a', clock);
     const again = leaseOf('a', clock);
     again.onRead({ version: 1, holding }, clock.now());
-    const step = again.next(FACTS);
+    const step = again.next(INPUTS);
     t.true(step.kind === 'write' && step.write.holding.token === 2);
   });
 });
--- a/packages/decisions/tests/duties/exploreLease.test.ts
+++ b/packages/decisions/tests/duties/exploreLease.test.ts
@@ -13,14 +13,14 @@
   return { holder, token, atMs };
 }
 
-/** Takes a lease that others still hold, as if it had run out. */
+/** Faulty lease: takes over from a holder whose lease has not expired. */
 class EarlyTakeoverLease extends HolderLease {
   override onRead(...[row, storeMs]: Parameters<HolderLease['onRead']>): void {
     super.onRead(row, storeMs + 10 * LEASE_MS);
   }
 }
 
-/** Counts its lease from the answer to its write. */
+/** Faulty lease: measures its duration from the answer to the write. */
 class AnswerTimedLease extends HolderLease {
   override onWritten(
     ...[write, version]: Parameters<HolderLease['onWritten']>
@@ -39,8 +39,8 @@
   private readonly nowMs: number;
 }
 
-describe('the check of what holders do', ({ it }) => {
-  it('finds nothing where one follows the other', t => {
+describe('the check of the calls that holders make', ({ it }) => {
+  it('accepts holders that follow one another', t => {
     const acts = [
       act(A, 1, 0),
       act(A, 1, 900),
@@ -50,38 +50,40 @@
     t.is(faultOf(acts, LEASE_MS), null);
   });
 
-  it('finds two holders with one token', t => {
+  it('finds two holders with the same token', t => {
     t.is(
       faultOf([act(A, 1, 0), act(B, 1, 9000)], LEASE_MS),
       'two holders with token 1',
     );
   });
 
-  it('finds a call with a token that was followed by a higher one', t => {
+  it('finds a call with a lower token than an earlier call', t => {
     const acts = [act(A, 1, 0), act(B, 2, 9000), act(A, 1, 20_000)];
     t.is(faultOf(acts, LEASE_MS), 'token 1 after a higher one');
   });
 
-  it('finds a holder that comes back within a lease', t => {
+  it('finds a holder that returns within the duration of a lease', t => {
     const acts = [act(A, 1, 0), act(B, 2, 1000), act(A, 3, 2500)];
     t.is(faultOf(acts, LEASE_MS), 'a came back within a lease');
   });
 });
 
-describe('every order in which instances compete for the duties', ({ it }) => {
-  it('leaves one holder at a time, with two of them', t => {
+describe('HolderLease in every interleaving of competing instances', ({
+  it,
+}) => {
+  it('has one holder at a time, with two instances', t => {
     const { states, fault } = exploreLease(2, 9);
     t.log(`${states} states`);
     t.is(fault, null);
   });
 
-  it('leaves one holder at a time, with three of them', t => {
+  it('has one holder at a time, with three instances', t => {
     const { states, fault } = exploreLease(3, 7);
     t.log(`${states} states`);
     t.is(fault, null);
   });
 
-  it('finds a lease that is taken before it has run out', t => {
+  it('is found faulty if it takes over a lease that has not expired', t => {
     const { fault } = exploreLease(
       2,
       10,
@@ -90,7 +92,7 @@
     t.not(fault, null);
   });
 
-  it('finds a lease that is counted from the answer', t => {
+  it('is found faulty if it measures the lease from the answer', t => {
     const { fault } = exploreLease(
       2,
       11,
--- a/packages/decisions/tests/duties/helpers/exploreLease.ts
+++ b/packages/decisions/tests/duties/helpers/exploreLease.ts
@@ -15,34 +15,37 @@
 /** Time that passes in one step of the exploration. */
 const TIME_STEP_MS = 1500;
 
-/** A write that was sent and may be done now, later or never. */
+/** A write that was sent and may be applied now, later or never. */
 interface SentWrite {
   readonly agent: number;
   readonly write: HoldingWrite;
   readonly sentMs: number;
-  /** Whether its sender still waits for the answer. */
+  /** Whether the sender is still waiting for the answer. */
   readonly isAwaited: boolean;
 }
 
+/** State of the explored system: time, stored row, agents, and writes in transit. */
 interface SystemState {
   readonly nowMs: number;
   readonly row: HoldingRow;
   readonly agents: readonly LeaseState[];
   readonly sent: readonly SentWrite[];
+  /** Calls that agents have made as the holder. */
   readonly acts: readonly DutyAct[];
 }
 
-/** What an exploration has seen. */
+/** Result of an exploration. */
 export interface ExplorationResult {
+  /** Number of distinct states. */
   readonly states: number;
-  /** The first fault with the way there; null where there is none. */
+  /** The first fault with the calls that led to it; null if there is none. */
   readonly fault: {
     readonly what: string;
     readonly acts: readonly DutyAct[];
   } | null;
 }
 
-/** Makes the lease of one agent, which a test may replace by a faulty one. */
+/** Creates the lease of an agent; tests pass factories of faulty leases. */
 export type LeaseFactory = (
   options: ConstructorParameters<typeof HolderLease>[0],
   state: LeaseState | undefined,
@@ -74,79 +77,81 @@
 }
 
 function withAgent(
-  world: SystemState,
+  state: SystemState,
   agent: number,
   lease: HolderLease,
 ): SystemState {
-  return { ...world, agents: world.agents.with(agent, lease.state) };
+  return { ...state, agents: state.agents.with(agent, lease.state) };
 }
 
-/** A look that is always due, since others may have heard of nothing. */
-const FACTS = { rank: () => 0, news: null, notes: NO_NOTES, givesUp: false };
+/** Inputs with which a read is always due, as for an agent that knows of no holding. */
+const INPUTS = { rank: () => 0, news: null, notes: NO_NOTES, givesUp: false };
 
+/** The agent performs the next step of its lease. */
 function step(
-  world: SystemState,
+  state: SystemState,
   agent: number,
   create: LeaseFactory,
 ): SystemState {
-  const lease = leaseAt(world, agent, create);
-  const next = lease.next(FACTS);
+  const lease = leaseAt(state, agent, create);
+  const next = lease.next(INPUTS);
   switch (next.kind) {
     case 'idle':
-      return withAgent(world, agent, lease);
+      return withAgent(state, agent, lease);
     case 'read':
-      lease.onRead(world.row, world.nowMs);
-      return withAgent(world, agent, lease);
+      lease.onRead(state.row, state.nowMs);
+      return withAgent(state, agent, lease);
     case 'write': {
       const sent = {
         agent,
         write: next.write,
-        sentMs: world.nowMs,
+        sentMs: state.nowMs,
         isAwaited: true,
       };
       return {
-        ...withAgent(world, agent, lease),
-        sent: [...world.sent, sent],
+        ...withAgent(state, agent, lease),
+        sent: [...state.sent, sent],
       };
     }
   }
 }
 
+/** The agent makes a call if it is the holder. */
 function act(
-  world: SystemState,
+  state: SystemState,
   agent: number,
   create: LeaseFactory,
 ): SystemState[] {
-  const { token } = leaseAt(world, agent, create);
+  const { token } = leaseAt(state, agent, create);
   return token === null
     ? []
     : [
         {
-          ...world,
+          ...state,
           acts: [
-            ...world.acts,
-            { holder: holderOf(agent), token, atMs: world.nowMs },
+            ...state.acts,
+            { holder: holderOf(agent), token, atMs: state.nowMs },
           ],
         },
       ];
 }
 
-/** The store carries a write out, if its condition still holds. */
+/** The store receives a write and applies it if its condition holds. */
 function applyWrite(
-  world: SystemState,
-  place: number,
+  state: SystemState,
+  index: number,
   create: LeaseFactory,
 ): SystemState {
-  const write = world.sent[place];
+  const write = state.sent[index];
   if (!write) {
-    return world;
+    return state;
   }
-  const isDone = write.write.expectedVersion === world.row.version;
-  const version = world.row.version + 1;
+  const isDone = write.write.expectedVersion === state.row.version;
+  const version = state.row.version + 1;
   const after: SystemState = {
-    ...world,
-    row: isDone ? { version, holding: write.write.holding } : world.row,
-    sent: world.sent.filter(other => other !== write),
+    ...state,
+    row: isDone ? { version, holding: write.write.holding } : state.row,
+    sent: state.sent.filter(other => other !== write),
   };
   if (!write.isAwaited) {
     return after;
@@ -160,79 +165,82 @@
   return withAgent(after, write.agent, lease);
 }
 
+/** The sender of a write stops waiting for the answer. */
 function timeOutWrite(
-  world: SystemState,
-  place: number,
+  state: SystemState,
+  index: number,
   create: LeaseFactory,
 ): SystemState {
-  const write = world.sent[place];
+  const write = state.sent[index];
   if (!write) {
-    return world;
+    return state;
   }
-  const lease = leaseAt(world, write.agent, create);
+  const lease = leaseAt(state, write.agent, create);
   lease.onUnanswered();
-  const late = { ...write, isAwaited: false };
+  const timedOut = { ...write, isAwaited: false };
   return {
-    ...withAgent(world, write.agent, lease),
-    sent: world.sent.with(place, late),
+    ...withAgent(state, write.agent, lease),
+    sent: state.sent.with(index, timedOut),
   };
 }
 
-/** The process starts anew on the same machine; it waits for no answer any more. */
+/** The process restarts on the same machine and no longer waits for answers. */
 function restart(
-  world: SystemState,
+  state: SystemState,
   agent: number,
   create: LeaseFactory,
 ): SystemState {
-  const fresh = leaseAt({ ...world, agents: [] }, agent, create);
+  const fresh = leaseAt({ ...state, agents: [] }, agent, create);
   return {
-    ...withAgent(world, agent, fresh),
-    sent: world.sent.map(write =>
+    ...withAgent(state, agent, fresh),
+    sent: state.sent.map(write =>
       write.agent === agent ? { ...write, isAwaited: false } : write,
     ),
   };
 }
 
+/** All states that are reachable in one step. */
 function successors(
-  world: SystemState,
+  state: SystemState,
   create: LeaseFactory,
 ): readonly SystemState[] {
-  const ofAgents = world.agents.flatMap((_, agent) => {
-    const isWaiting = world.sent.some(
+  const ofAgents = state.agents.flatMap((_, agent) => {
+    const isWaiting = state.sent.some(
       write => write.agent === agent && write.isAwaited,
     );
     return [
-      ...(isWaiting ? [] : [step(world, agent, create)]),
-      ...act(world, agent, create),
-      restart(world, agent, create),
+      ...(isWaiting ? [] : [step(state, agent, create)]),
+      ...act(state, agent, create),
+      restart(state, agent, create),
     ];
   });
-  const ofWrites = world.sent.flatMap(({ isAwaited }, place) => [
-    applyWrite(world, place, create),
-    ...(isAwaited ? [timeOutWrite(world, place, create)] : []),
+  const ofWrites = state.sent.flatMap(({ isAwaited }, index) => [
+    applyWrite(state, index, create),
+    ...(isAwaited ? [timeOutWrite(state, index, create)] : []),
   ]);
   return [
     ...ofAgents,
     ...ofWrites,
-    { ...world, nowMs: world.nowMs + TIME_STEP_MS },
+    { ...state, nowMs: state.nowMs + TIME_STEP_MS },
   ];
 }
 
-/** The same for worlds that differ in nothing that matters later. */
+/** Key that is equal for states with the same possible futures. */
 function keyOf({ nowMs, row, agents, sent, acts }: SystemState): string {
   const recent = acts.filter(({ atMs }) => nowMs - atMs <= LEASE_MS);
   return JSON.stringify([nowMs, row, agents, sent, recent, acts.at(-1)]);
 }
 
 /**
- * Explores every order in which agents compete for the holding, up to a depth.
+ * Explores all interleavings of agents that compete for the holding, up to a depth.
  *
- * Writes are carried out at once, after their sender gave up waiting, or never; time
- * passes and processes start anew at any point.
+ * A write is applied while its sender waits, after the sender has timed out, or never.
+ * Time passes and processes restart at any point.
  *
- * @param agents - that compete
- * @param depth - steps from the start
- * @param create - makes their leases
+ * @param agents - number of competing agents
+ * @param depth - maximum number of steps
+ * @param create - creates the lease of an agent
+ * @returns number of states, and the first fault
  */
 export function exploreLease(
   agents: number,
@@ -254,9 +262,9 @@
   let frontier: readonly SystemState[] = [{ ...empty, agents: states }];
   for (let at = 0; at < depth; at += 1) {
     const next = frontier
-      .flatMap(world => successors(world, create))
-      .filter(world => {
-        const key = keyOf(world);
+      .flatMap(state => successors(state, create))
+      .filter(state => {
+        const key = keyOf(state);
         const isNew = !seen.has(key);
         seen.add(key);
         return isNew;
--- a/packages/decisions/tests/duties/scaling/replicaOrders.test.ts
+++ b/packages/decisions/tests/duties/scaling/replicaOrders.test.ts
@@ -66,8 +66,8 @@
       isSpotUnavailable: () => false,
     });
 
-  // Guards against a burst that meets a third of the replicas gone.
-  it('has enough where all cheap ones of any failure domain are reclaimed', t => {
+  // Guards against a burst that arrives when a third of the replicas has been reclaimed.
+  it('covers the need if all spot replicas of a failure domain are reclaimed', t => {
     const plan = [...planOf(60).values()];
     const all = plan.reduce(
       (sum, { lasting, spot }) => sum + lasting + spot,
@@ -78,7 +78,7 @@
     });
   });
 
-  it('keeps within the bounds of each failure domain', t => {
+  it('stays within the bounds of each failure domain', t => {
     planOf(500).forEach(({ lasting, spot }) => {
       t.true(lasting + spot <= SCALING.maxReplicas);
     });
@@ -87,12 +87,12 @@
     });
   });
 
-  it('has more where they are cheaper', t => {
+  it('plans more replicas in cheaper failure domains', t => {
     const plan = planOf(30);
     t.true((plan.get(B)?.spot ?? 0) > (plan.get(C)?.spot ?? 0));
   });
 
-  it('has none to reclaim where there are none', t => {
+  it('plans on-demand replicas only if there is no spot price', t => {
     const plan = [...planOf(60, { ...SCALING, spotPrice: null }).values()];
     t.deepEqual(
       plan.map(({ spot }) => spot),
@@ -105,7 +105,7 @@
   });
 });
 
-describe('planReplicas where no cheap ones are to be had', ({ it }) => {
+describe('planReplicas where spot replicas are unavailable', ({ it }) => {
   const planWhere = (
     isSpotUnavailable: (domain: FailureDomainId) => boolean,
     standing: ReplicaCensus,
@@ -119,8 +119,9 @@
       }).values(),
     ].reduce((sum, { lasting }) => sum + lasting, 0);
 
-  // Guards against a burst that is refused for ten seconds while others are to be had.
-  it('has others instead, as many as are needed', t => {
+  // Guards against a burst that is refused for ten seconds although on-demand replicas are
+  // available.
+  it('plans on-demand replicas instead, as many as are needed', t => {
     const reclaimed = new Map(census(4, 0)).set(C, { lasting: 4, spot: 30 });
     t.is(
       planWhere(() => true, reclaimed),
@@ -128,7 +129,7 @@
     );
   });
 
-  it('has no more of them where the rest is enough', t => {
+  it('plans no additional on-demand replicas if the rest is sufficient', t => {
     const reclaimed = new Map(census(4, 30)).set(B, { lasting: 4, spot: 0 });
     t.is(
       planWhere(domain => domain === B, reclaimed),
@@ -138,8 +139,8 @@
 });
 
 describe('stepTowards', ({ it }) => {
-  // Guards against capacity that is given back before its replacement serves.
-  it('gives nothing back that is needed', t => {
+  // Guards against capacity that is released before its replacement is active.
+  it('releases no replicas that are still needed', t => {
     const before = { ...facts(), isSpotUnavailable: () => false };
     const step = stepTowards(before, planReplicas(before));
     t.deepEqual(
@@ -153,7 +154,7 @@
 });
 
 describe('ReplicaOrders', ({ it }) => {
-  it('orders cheap ones first, and gives back the others once those stand', t => {
+  it('orders spot replicas first and releases on-demand ones once these are active', t => {
     const clock = manualClock();
     const orders = new ReplicaOrders(clock.now);
     const due = orders.due(facts());
@@ -167,7 +168,7 @@
     t.true(total(next, false) < 20);
   });
 
-  it('says the same only once', t => {
+  it('does not repeat accepted orders', t => {
     const orders = new ReplicaOrders(manualClock().now);
     orders.due(facts()).forEach(order => {
       orders.onAccepted(order);
@@ -175,20 +176,20 @@
     t.deepEqual(orders.due(facts()), []);
   });
 
-  // Guards against cheap ones that never come back after they were reclaimed.
-  it('orders again what was reclaimed', t => {
+  // Guards against spot replicas that are never replaced after they were reclaimed.
+  it('reorders reclaimed replicas', t => {
     const clock = manualClock();
     const orders = new ReplicaOrders(clock.now);
     orders.due(facts()).forEach(order => {
       orders.onAccepted(order);
     });
     clock.advance(20_000);
-    const gone = new Map(census(4, 24)).set(B, { lasting: 5, spot: 0 });
-    const due = orders.due(facts({ census: gone, isIdle: false }));
+    const reclaimed = new Map(census(4, 24)).set(B, { lasting: 5, spot: 0 });
+    const due = orders.due(facts({ census: reclaimed, isIdle: false }));
     t.true(due.some(({ failureDomain, spot }) => failureDomain === B && spot));
   });
 
-  it('asks elsewhere where none are to be had', t => {
+  it('skips a failure domain without available spot replicas for a while', t => {
     const clock = manualClock();
     const orders = new ReplicaOrders(clock.now);
     const [first] = orders.due(facts());
@@ -205,8 +206,9 @@
     t.is(orders.due(facts()).filter(({ spot }) => spot).length, 3);
   });
 
-  // Guards against streams that are cut off where replicas go and come again.
-  it('gives nothing back between two bursts', t => {
+  // Guards against streams that are cut off because replicas are released and then
+  // ordered again.
+  it('releases nothing between two bursts', t => {
     const clock = manualClock();
     const orders = new ReplicaOrders(clock.now);
     const standing = census(4, 24);
@@ -221,8 +223,8 @@
     t.true(orders.due(quiet).length > 0);
   });
 
-  // Guards against leaves of dozens of replicas at once, which requests still reach.
-  it('gives back a few at a time while there is load', t => {
+  // Guards against dozens of replicas leaving at once while requests still reach them.
+  it('releases a few replicas at a time while there is load', t => {
     const clock = manualClock();
     const orders = new ReplicaOrders(clock.now);
     const standing = census(4, 24);
@@ -244,7 +246,7 @@
     t.true(orders.due(fewer).length > 0);
   });
 
-  it('goes on with the orders of the holder before', t => {
+  it('continues with the orders of the previous holder', t => {
     const clock = manualClock();
     const before = new ReplicaOrders(clock.now);
     before.due(facts()).forEach(order => {
@@ -260,15 +262,15 @@
   const OPTIONS = { targetUse: 0.5, holdMs: 10_000, decayMs: 20_000 };
   const load = (inFlight: number) => ({ inFlight, slots: 16, most: 120 });
 
-  it('grows with the load at once', t => {
+  it('increases with the load at once', t => {
     const need = new CapacityNeed(20, manualClock().now, OPTIONS);
     t.is(need.observe(load(0)), 20);
     t.is(need.observe(load(400)), 50);
     t.is(need.observe(load(4000)), 120);
   });
 
-  // Guards against a second burst that finds what the first one needed given back.
-  it('is kept between two bursts, and then shrinks', t => {
+  // Guards against a second burst that finds the capacity of the first one released.
+  it('is held between two bursts and then decays', t => {
     const clock = manualClock();
     const need = new CapacityNeed(20, clock.now, OPTIONS);
     need.observe(load(400));
--- a/packages/decisions/tests/duties/usage.test.ts
+++ b/packages/decisions/tests/duties/usage.test.ts
@@ -16,7 +16,7 @@
 const SHOP = brand<OrganisationId>('shop');
 const FARM = brand<OrganisationId>('farm');
 const WINDOW_MS = 5000;
-const LATE_MS = 10_000;
+const REPORT_DUE_MS = 10_000;
 const WINDOW = 100;
 const WINDOW_END_MS = (WINDOW + 1) * WINDOW_MS;
 
@@ -42,15 +42,15 @@
   return decideUsage(notes, {
     nowUnixMs: WINDOW_END_MS + afterMs,
     windowMs: WINDOW_MS,
-    lateMs: LATE_MS,
-    heldForMs: LATE_MS,
+    lateMs: REPORT_DUE_MS,
+    heldForMs: REPORT_DUE_MS,
     live: [A, B],
     collector,
   });
 }
 
 describe('UsageLedger', ({ it }) => {
-  it('counts a request once, in the window in which it first ran', t => {
+  it('counts a request once, in the window in which it first started', t => {
     const ledger = new UsageLedger(WINDOW_MS);
     const request = { organisation: SHOP };
     ledger.onBegan(request, WINDOW_END_MS - 1);
@@ -63,13 +63,13 @@
     ]);
   });
 
-  it('counts nothing for routes that need no key', t => {
+  it('does not count requests without an organisation', t => {
     const ledger = new UsageLedger(WINDOW_MS);
     ledger.onBegan({ organisation: null }, WINDOW_END_MS);
     t.deepEqual(ledger.since(0), []);
   });
 
-  it('is bounded', t => {
+  it('keeps a bounded number of windows', t => {
     const ledger = new UsageLedger(WINDOW_MS);
     Array.from({ length: 40 }, (_, window) => {
       ledger.onBegan({ organisation: SHOP }, window * WINDOW_MS);
@@ -79,8 +79,8 @@
 });
 
 describe('UsageCollector', ({ it }) => {
-  // Guards against counts that a lost, repeated or overtaken message changes.
-  it('adds up the newest that each run of an instance told', t => {
+  // Guards against counts that change with lost, duplicate or reordered messages.
+  it('sums the latest counts of each incarnation of each instance', t => {
     const collector = new UsageCollector();
     collector.onTold(usageReport(A, 3));
     collector.onTold(usageReport(A, 7));
@@ -90,7 +90,7 @@
     t.deepEqual(collector.usageOf(WINDOW).counts, { [SHOP]: 21 });
   });
 
-  it('forgets windows that were decided', t => {
+  it('discards windows up to the given one', t => {
     const collector = new UsageCollector();
     collector.onTold(usageReport(A, 3));
     collector.discardThrough(WINDOW);
@@ -99,12 +99,12 @@
 });
 
 describe('decideUsage', ({ it }) => {
-  it('begins with the window in which the fleet has started', t => {
+  it('begins with the window in which the fleet started', t => {
     const notes = decide(new UsageCollector(), 100, NO_NOTES);
     t.is(notes.reportedThrough, WINDOW);
   });
 
-  it('waits until all live instances have told', t => {
+  it('waits for the counts of all live instances', t => {
     const collector = new UsageCollector();
     collector.onTold(usageReport(A, 3));
     t.is(decide(collector, 2000).decided.length, 0);
@@ -114,31 +114,31 @@
     ]);
   });
 
-  // Guards against a window that is never reported for an instance that is cut off.
-  it('goes without an instance that tells nothing, before the report is late', t => {
+  // Guards against a window that is never reported because one instance is cut off.
+  it('stops waiting for a silent instance before the report is overdue', t => {
     const collector = new UsageCollector();
     collector.onTold(usageReport(A, 3));
-    t.is(decide(collector, LATE_MS / 2).decided.length, 1);
+    t.is(decide(collector, REPORT_DUE_MS / 2).decided.length, 1);
   });
 
-  // Guards against two counts for one window.
-  it('decides a window once', t => {
+  // Guards against two different reports for one window.
+  it('does not change the usage of a window that is final', t => {
     const collector = new UsageCollector();
     collector.onTold(usageReport(A, 3));
-    const notes = decide(collector, LATE_MS / 2);
+    const notes = decide(collector, REPORT_DUE_MS / 2);
     collector.onTold(usageReport(A, 9));
-    t.is(decide(collector, LATE_MS / 2 + 100, notes), notes);
+    t.is(decide(collector, REPORT_DUE_MS / 2 + 100, notes), notes);
   });
 
-  it('keeps what was decided until it is reported', t => {
+  it('keeps final usage until it is reported', t => {
     const collector = new UsageCollector();
-    const notes = decide(collector, LATE_MS / 2);
+    const notes = decide(collector, REPORT_DUE_MS / 2);
     const after = withReported(notes, WINDOW);
     t.deepEqual(after.decided, []);
     t.is(after.reportedThrough, WINDOW);
   });
 
-  it('leaves out windows that nobody needs any more', t => {
+  it('skips windows that are too old to be reported', t => {
     const notes = decide(new UsageCollector(), 200 * WINDOW_MS);
     t.is(notes.decided[0]?.window, WINDOW + 195);
   });
--- a/packages/decisions/tests/helpers/RouterFixture.ts
+++ b/packages/decisions/tests/helpers/RouterFixture.ts
@@ -95,7 +95,7 @@
   readonly attempt: Attempt;
 }
 
-/** A router on a clock that the test moves, with every effect recorded. */
+/** A router with a manual clock that records all effects. */
 export class RouterFixture {
   nowMs = 1000;
   readonly dispatched: SentAttempt[] = [];
@@ -166,14 +166,14 @@
     return sent.attempt;
   }
 
-  /** Fills every slot with requests of one class. */
+  /** Fills all slots with requests of one class and returns the dispatched ones. */
   fill(className = 'bronze'): RequestId[] {
     const before = this.dispatched.length;
     const ids = Array.from({ length: 12 }, () => this.submit(className));
     return ids.slice(0, this.dispatched.length - before);
   }
 
-  /** Lets time pass in ticks, as a host does. */
+  /** Advances the clock, with a tick every 100 ms as in a host. */
   advance(ms: number): void {
     const endMs = this.nowMs + ms;
     while (this.nowMs < endMs) {
@@ -182,6 +182,7 @@
     }
   }
 
+  /** Delivers tokens and the end of the response of a dispatched request. */
   finish(id: RequestId, tokens = 1): void {
     const { number } = this.attemptOf(id);
     this.router.onTokens(id, number, tokens);
--- a/packages/decisions/tests/membership/Membership.test.ts
+++ b/packages/decisions/tests/membership/Membership.test.ts
@@ -19,13 +19,15 @@
   state: 'live' as const,
 });
 
-/** Instances on one virtual clock, with a link that the test can cut. */
+/** Instances on one virtual clock, with links that a test can cut. */
 class Fleet {
   nowMs = 0;
   readonly nodes = new Map<string, Membership>();
   readonly down = new Set<string>();
   readonly paused = new Set<string>();
+  /** Whether messages from one instance to another are lost. */
   cut: (from: string, to: string) => boolean = () => false;
+  /** Number of heartbeats sent. */
   messages = 0;
 
   constructor(names: readonly string[]) {
@@ -52,6 +54,7 @@
     return !this.down.has(to) && !this.paused.has(to) && !this.cut(from, to);
   }
 
+  /** Runs one period of all instances that are neither down nor paused. */
   runPeriod(): void {
     this.nowMs += 1000;
     this.nodes.forEach((node, name) => {
@@ -64,6 +67,7 @@
     });
   }
 
+  /** Sends a heartbeat and its reply, or checks the target indirectly if that fails. */
   exchange(from: string, to: string): void {
     const sender = this.node(from);
     this.messages += 1;
@@ -74,10 +78,10 @@
       return;
     }
     const target = brand<InstanceId>(to);
-    const helped = sender
+    const isReachable = sender
       .helpers(target, 2)
       .some(({ id }) => this.reaches(from, id) && this.reaches(id, to));
-    if (!helped) {
+    if (!isReachable) {
       sender.onUnreachable(target);
     }
   }
@@ -88,7 +92,7 @@
     });
   }
 
-  /** How all others see one instance. */
+  /** States of one instance as seen by all others that are not down. */
   statesOf(of: string): string[] {
     return [...this.nodes]
       .filter(([name]) => name !== of && !this.down.has(name))
@@ -104,8 +108,8 @@
 
 describe('Membership', suite => {
   suite.describe('failures', ({ it }) => {
-    it('finds a crashed instance everywhere within a bounded time', t => {
-      // Callers keep being sent to an instance that is gone.
+    // Guards against callers that are still sent to a crashed instance.
+    it('detects a crashed instance on all others within a bounded time', t => {
       const fleet = new Fleet(names(8));
       fleet.run(3);
       fleet.down.add('n3');
@@ -113,9 +117,9 @@
       t.true(fleet.statesOf('n3').every(state => state === 'failed'));
     });
 
-    it('does not suspect over one broken link', t => {
-      // An instance disappears from the addresses although it serves well. Only
-      // the link between it and one other is broken; others still reach it.
+    // Guards against an instance that is no longer announced to callers because only the
+    // link between it and one other instance is broken.
+    it('does not suspect an instance because of one broken link', t => {
       const fleet = new Fleet(names(8));
       fleet.cut = (from, to) =>
         [from, to].includes('n1') && [from, to].includes('n2');
@@ -124,9 +128,9 @@
       t.true(fleet.statesOf('n1').every(state => state === 'live'));
     });
 
-    it('takes a paused instance back once it refutes', t => {
-      // After a pause of half a minute an instance never gets callers again.
-      // The others gave it up; it must learn that and raise its incarnation.
+    // Guards against an instance that never gets callers again after a pause. The others
+    // consider it failed; it has to learn this and raise its incarnation.
+    it('restores a paused instance once it refutes its failure', t => {
       const fleet = new Fleet(names(8));
       fleet.run(3);
       fleet.paused.add('n4');
@@ -137,9 +141,9 @@
       t.true(fleet.statesOf('n4').every(state => state === 'live'));
     });
 
-    it('does not let a paused instance accuse the others', t => {
-      // A process that was stopped for a minute wakes up and takes every
-      // instance for dead, because no reply came while it was stopped.
+    // Guards against an instance that was paused for a minute and then suspects all others
+    // because it received no replies during the pause.
+    it('does not let a paused instance suspect the others', t => {
       const fleet = new Fleet(names(4));
       fleet.run(3);
       fleet.nowMs += 60_000;
@@ -147,8 +151,8 @@
       t.is(fleet.node('n0').members.find(m => m.id === 'n1')?.state, 'live');
     });
 
-    it('heals a partition by itself', t => {
-      // Two regions lose each other for an hour and must find back together.
+    // Guards against two halves of the fleet that stay apart after a long partition.
+    it('recovers from a partition by itself', t => {
       const fleet = new Fleet(names(12));
       const side = (name: string): boolean => Number(name.slice(1)) < 6;
       fleet.run(3);
@@ -164,9 +168,9 @@
   });
 
   suite.describe('leaving', ({ it }) => {
-    it('spreads a leave and keeps it although the list lags', t => {
-      // A stopping instance still gets callers, because the platform's list
-      // names it as live for a while.
+    // Guards against a stopping instance that still gets callers because the platform's
+    // list shows it as live for a while.
+    it('spreads a leave and keeps it while the list lags behind', t => {
       const fleet = new Fleet(names(8));
       fleet.run(3);
       fleet.node('n5').leave();
@@ -178,15 +182,15 @@
     });
   });
 
-  suite.describe('cost', ({ it }) => {
-    // Callers are still sent to an instance that is stopping. It has told of its leave,
-    // and then its reply to a heartbeat arrives that it wrote just before.
-    it('keeps a leave although an older heartbeat comes after it', t => {
+  suite.describe('message order and cost', ({ it }) => {
+    // Guards against callers that are sent to a stopping instance because its reply to a
+    // heartbeat, written just before the leave, arrives after it.
+    it('keeps a leave when an older heartbeat arrives after it', t => {
       const [staying, stopping] = ['a', 'b'].map(
         name => new Membership(ownFacts(name), () => 0, createRandom(1)),
       );
       if (!staying || !stopping) {
-        t.fail('two were made');
+        t.fail('expected two memberships');
         return;
       }
       const before = stopping.message(STATE);
@@ -196,7 +200,7 @@
       t.deepEqual(staying.serving, []);
     });
 
-    it('takes an instance back that starts again after its leave', t => {
+    it('treats an instance as serving that restarts after its leave', t => {
       const staying = new Membership(ownFacts('a'), () => 0, createRandom(1));
       const message = new Membership(
         ownFacts('b'),
@@ -209,7 +213,7 @@
       t.is(staying.serving.length, 1);
     });
 
-    it('sends as many messages an instance in a large fleet as in a small one', t => {
+    it('sends the same number of messages per instance in small and large fleets', t => {
       const perNode = [16, 64].map(count => {
         const fleet = new Fleet(names(count));
         fleet.run(10);
--- a/packages/decisions/tests/membership/PeerProbes.test.ts
+++ b/packages/decisions/tests/membership/PeerProbes.test.ts
@@ -28,30 +28,33 @@
 interface FleetNode {
   readonly membership: Membership;
   readonly probes: PeerProbes;
-  /** Until when the process is busy or has no processor. */
-  heldUpUntilMs: number;
+  /** Until when the process is stalled. */
+  stalledUntilMs: number;
   nextRoundMs: number;
-  /** Datagrams that nobody has read yet. */
+  /** Received datagrams that the process has not read yet. */
   readonly inbox: Datagram[];
 }
 
+/** Disturbances of the fleet. */
 interface Conditions {
-  /** Part of the datagrams that get lost. */
+  /** Share of the datagrams that get lost, between 0 and 1. */
   readonly loss: number;
-  /** Time that an instance is held up, each time; 0 for never. */
-  readonly heldUpMs: number;
-  /** Time between two such times. */
+  /** Length of each stall of an instance, in milliseconds; 0 for none. */
+  readonly stallMs: number;
+  /** Mean time between two stalls of an instance, in milliseconds. */
   readonly everyMs: number;
 }
 
-/** Instances on one virtual clock that ask each other by datagrams. */
+/** Instances on one virtual clock that probe each other by datagrams. */
 class ProbedFleet {
   nowMs = 0;
   readonly #nodes = new Map<string, FleetNode>();
   readonly #down = new Set<string>();
   #inTransit: Datagram[] = [];
   readonly #random = createRandom(7);
+  /** Number of times that a running instance was suspected. */
   suspicions = 0;
+  /** Number of times that a running instance was considered failed. */
   failures = 0;
 
   constructor(
@@ -82,17 +85,19 @@
       this.#nodes.set(name, {
         membership,
         probes: new PeerProbes(membership, clock, OPTIONS),
-        heldUpUntilMs: 0,
+        stalledUntilMs: 0,
         nextRoundMs: this.#random() * PERIOD_MS,
         inbox: [],
       });
     });
   }
 
+  /** Stops an instance for good. */
   kill(name: string): void {
     this.#down.add(name);
   }
 
+  /** States of one instance as seen by all others that are not down. */
   statesOf(name: string): readonly string[] {
     return [...this.#nodes]
       .filter(([other]) => other !== name && !this.#down.has(other))
@@ -124,14 +129,14 @@
   }
 
   #step(name: string, node: FleetNode): void {
-    const { heldUpMs, everyMs } = this.conditions;
-    if (heldUpMs > 0 && this.#random() < STEP_MS / everyMs) {
-      node.heldUpUntilMs = this.nowMs + heldUpMs;
+    const { stallMs, everyMs } = this.conditions;
+    if (stallMs > 0 && this.#random() < STEP_MS / everyMs) {
+      node.stalledUntilMs = this.nowMs + stallMs;
     }
-    if (this.nowMs < node.heldUpUntilMs) {
+    if (this.nowMs < node.stalledUntilMs) {
       return;
     }
-    // Timers come before what has arrived, as in the event loop.
+    // Timers run before received datagrams are read, as in the event loop.
     if (this.nowMs >= node.nextRoundMs) {
       node.nextRoundMs = this.nowMs + PERIOD_MS;
       this.#round(name, node);
@@ -191,19 +196,19 @@
   }
 }
 
-const NO_DISTURBANCE: Conditions = { loss: 0, heldUpMs: 0, everyMs: 0 };
+const NO_DISTURBANCE: Conditions = { loss: 0, stallMs: 0, everyMs: 0 };
 
 describe('PeerProbes', ({ describe: group }) => {
-  group('instances that are short of processor', ({ it }) => {
-    // A storm of configurations takes every instance's processor for most of a
-    // second, again and again. Answers wait behind the work, and questions look
-    // unanswered though nobody is gone. Callers are told fewer addresses, and
-    // every accusation and its withdrawal costs more of the same processor.
+  group('instances that are short of CPU time', ({ it }) => {
+    // Guards against false suspicion when a burst of configuration changes repeatedly
+    // stalls every instance for most of a second: answers wait unread, so probes seem
+    // unanswered. Callers would be given fewer addresses, and spreading and refuting
+    // the suspicions would take more CPU time.
     [8, 60, 195].forEach(size => {
-      it(`does not suspect them, ${size} instances`, t => {
+      it(`are rarely suspected and never considered failed, ${size} instances`, t => {
         const fleet = new ProbedFleet(size, {
           loss: 0,
-          heldUpMs: 600,
+          stallMs: 600,
           everyMs: 1500,
         });
         fleet.run(8000);
@@ -216,8 +221,8 @@
     });
   });
 
-  group('datagrams that get lost', ({ it }) => {
-    it('suspects nobody for a few of a hundred', t => {
+  group('lost datagrams', ({ it }) => {
+    it('rarely cause suspicion and never failure, with 3% loss', t => {
       const fleet = new ProbedFleet(60, { ...NO_DISTURBANCE, loss: 0.03 });
       fleet.run(20_000);
       t.true(
@@ -228,9 +233,9 @@
     });
   });
 
-  group('an instance that is gone', ({ it }) => {
+  group('an instance that was killed', ({ it }) => {
     [8, 60].forEach(size => {
-      it(`is known everywhere within six seconds, ${size} instances`, t => {
+      it(`is failed on all others within six seconds, ${size} instances`, t => {
         const fleet = new ProbedFleet(size, NO_DISTURBANCE);
         fleet.run(2000);
         fleet.kill('node-1');
