--- a/packages/decisions/src/Router.ts
+++ b/packages/decisions/src/Router.ts
@@ -92,7 +92,7 @@
 
   /** Applies a change of the fleet. */
   place(placement: Placement): void {
-    this.#configuration.place(placement);
+    this.#configuration.setPlacement(placement);
     this.#dispatchAll();
   }
 
--- a/packages/decisions/src/controllers/ConfigurationController.ts
+++ b/packages/decisions/src/controllers/ConfigurationController.ts
@@ -74,7 +74,7 @@
   }
 
   /** Applies a change of the fleet. */
-  place(placement: Placement): void {
+  setPlacement(placement: Placement): void {
     this.board.placement = placement;
     this.#rebuild();
   }
--- a/packages/decisions/src/duties/HolderLease.ts
+++ b/packages/decisions/src/duties/HolderLease.ts
@@ -78,7 +78,10 @@
     return this.#state.row?.holding ?? null;
   }
 
-  /** Stops holding until the row was read again, for example after a process pause. */
+  /**
+   * Stops holding at once, for example after a process pause. The row is read before the
+   * lease is acquired again.
+   */
   drop(): void {
     this.#update({ heldUntilMs: -Infinity, mustRead: true, isFresh: false });
   }
--- a/packages/decisions/src/duties/scaling/CapacityNeed.ts
+++ b/packages/decisions/src/duties/scaling/CapacityNeed.ts
@@ -6,7 +6,10 @@
   readonly targetUse: number;
   /** Time for which a peak counts in full, in milliseconds. */
   readonly holdMs: number;
-  /** Time constant of the exponential decay after that, in milliseconds. */
+  /**
+   * Time constant of the exponential decay after that, in milliseconds. The need does not
+   * decay while no requests are in flight.
+   */
   readonly decayMs: number;
 }
 
--- a/packages/decisions/src/duties/scaling/ReplicaOrders.ts
+++ b/packages/decisions/src/duties/scaling/ReplicaOrders.ts
@@ -15,7 +15,7 @@
 const UNAVAILABLE_MS = 1500;
 /** Time beyond the boot time of a replica after which a missing replica is reordered. */
 const REORDER_DELAY_MS = 500;
-/** Time for which a surplus must last previousCount replicas are released under load. */
+/** Time for which a surplus must last before replicas are released under load. */
 const DECREASE_DELAY_MS = 8000;
 /** Replicas of one kind that a failure domain releases at once under load. */
 const MAX_DECREASE_STEP = 3;
--- a/packages/decisions/src/duties/scaling/planReplicas.ts
+++ b/packages/decisions/src/duties/scaling/planReplicas.ts
@@ -1,6 +1,6 @@
 import type { FailureDomainId, ReplicaScaling } from '@jujubecroft/types';
 
-import type { ReplicaCensus, ActiveReplicas } from './replicaCensus.js';
+import type { ActiveReplicas, ReplicaCensus } from './replicaCensus.js';
 import { activeIn, totalActive } from './replicaCensus.js';
 
 /** Ratio of on-demand (`lasting`) and spot replicas. */
@@ -8,8 +8,8 @@
   /** Share of the need that is covered by on-demand replicas. */
   readonly lastingShare: number;
   /**
-   * Spot replicas to keep per spot replica needed, before the reserve for the loss of a
-   * failure domain.
+   * Factor by which the spot part of the need is overprovisioned, in addition to the
+   * reserve for the loss of a failure domain.
    */
   readonly spotHeadroom: number;
 }
@@ -90,9 +90,12 @@
     () => maxReplicas,
   );
   const available = domains.filter(domain => !isSpotUnavailable(domain));
-  const cover = domains.length > 1 ? domains.length / (domains.length - 1) : 1;
+  const reserveFactor =
+    domains.length > 1 ? domains.length / (domains.length - 1) : 1;
   const spotNeed =
-    spotPrice === null ? 0 : mix.spotHeadroom * cover * (need - lastingNeed);
+    spotPrice === null
+      ? 0
+      : mix.spotHeadroom * reserveFactor * (need - lastingNeed);
   const spot = allocate(
     spotNeed,
     available,
--- a/packages/decisions/tests/duties/HolderLease.test.ts
+++ b/packages/decisions/tests/duties/HolderLease.test.ts
@@ -72,7 +72,7 @@
     });
 
     // Guards against acting on a lease that expired while the machine was paused.
-    holds('has no token after it was dropped until the row was read', t => {
+    holds('has no token after it was dropped', t => {
       const clock = manualClock();
       const { lease } = acquiredBy('a', clock);
       lease.drop();
