--- a/packages/decisions/src/Router.ts
+++ b/packages/decisions/src/Router.ts
@@ -37,19 +37,20 @@
   readonly recovery: RecoveryPolicy;
 }
 
-/** Settings of one router that are no policy. */
+/** Settings of one router, besides its policies. */
 export interface RouterOptions extends RecoveryOptions {
-  /** Servers that one instance uses per pool, at most. */
+  /** Maximum number of servers that one instance uses per pool. */
   readonly subsetSize: number;
-  /** Servers that one instance uses over all pools. */
+  /** Number of servers that one instance uses over all pools. */
   readonly serverBudget: number;
 }
 
-const EXPIRED_RETRY_MS = 1000;
+/** Retry-after for a request that waited in the queue for too long. */
+const EXPIRED_RETRY_AFTER_MS = 1000;
 
 /**
- * The decision logic of one instance: a host feeds it events and carries out
- * the effects. It does no I/O and sets no timers; the host calls `tick`.
+ * Decision logic of one instance. A host passes it events and executes its effects. The
+ * router performs no I/O and sets no timers; the host calls `tick` periodically.
  */
 export class Router {
   readonly #admission: AdmissionController;
@@ -82,33 +83,37 @@
     );
   }
 
-  /** @returns whether the configuration is newer and now in force */
+  /** @returns whether the configuration is newer and was applied */
   configure(cfg: Configuration): boolean {
     const changed = this.#configuration.configure(cfg);
-    this.#pumpAll();
+    this.#dispatchAll();
     return changed;
   }
 
+  /** Applies a change of the fleet. */
   place(placement: Placement): void {
-    this.#configuration.place(placement);
-    this.#pumpAll();
+    this.#configuration.setPlacement(placement);
+    this.#dispatchAll();
   }
 
-  /** Takes in a validated request; the answer comes through the effects. */
+  /** Submits a validated request; the outcome is reported through the effects. */
   submit(request: RoutedRequest): void {
     if (this.#admission.submit(request)) {
-      this.#dispatch.pump(poolKey(request.target));
+      this.#dispatch.dispatchFromPool(poolKey(request.target));
     }
   }
 
   /**
-   * Tells of tokens from an attempt.
+   * Reports tokens received from an attempt.
    *
-   * @returns false when the attempt is no longer the current one, so that its
-   *   tokens must not reach the caller
+   * @param id - the request
+   * @param attempt - number of the attempt
+   * @param tokens - number of tokens since the last call; at least 1
+   * @returns false if the attempt is not the current one; its tokens must not reach the
+   *   caller
    */
   onTokens(id: RequestId, attempt: number, tokens: number): boolean {
-    const record = this.#current(id, attempt);
+    const record = this.#currentRecord(id, attempt);
     if (!record) {
       return false;
     }
@@ -116,33 +121,37 @@
     return true;
   }
 
-  /** Tells that an attempt delivered its whole answer. */
+  /**
+   * Reports that an attempt delivered its complete response.
+   *
+   * @returns false if the attempt is not the current one
+   */
   onFinished(id: RequestId, attempt: number): boolean {
-    const record = this.#current(id, attempt);
+    const record = this.#currentRecord(id, attempt);
     if (!record) {
       return false;
     }
     this.#progress.onFinished(record);
-    this.#vacate(record);
+    this.#freeSlot(record);
     this.#end(record);
-    this.#dispatch.pump(poolKey(record.request.target));
+    this.#dispatch.dispatchFromPool(poolKey(record.request.target));
     return true;
   }
 
-  /** Tells that an attempt failed; late news of older attempts is ignored. */
+  /** Reports that an attempt failed; failures of earlier attempts are ignored. */
   onFailed(id: RequestId, attempt: number, failure: AttemptFailure): void {
-    const record = this.#current(id, attempt);
+    const record = this.#currentRecord(id, attempt);
     if (!record) {
       return;
     }
-    this.#vacate(record);
+    this.#freeSlot(record);
     if (!this.#recovery.onFailed(record, failure)) {
       this.#end(record);
     }
-    this.#dispatch.pump(poolKey(record.request.target));
+    this.#dispatch.dispatchFromPool(poolKey(record.request.target));
   }
 
-  /** Tells that the caller closed its connection. */
+  /** Reports that the caller closed its connection. */
   onCallerLeft(id: RequestId): void {
     const record = this.board.requests.get(id);
     if (!record || record.state === 'ended') {
@@ -157,26 +166,27 @@
     if (record.state === 'running') {
       this.#cancelAttempt(record, 'callerLeft');
     } else {
-      this.#leaveQueue(record);
+      this.#removeFromQueue(record);
     }
     this.#end(record);
-    this.#dispatch.pump(poolKey(record.request.target));
+    this.#dispatch.dispatchFromPool(poolKey(record.request.target));
   }
 
+  /** Reports the load of a backend server. */
   onReport(id: BackendServerId, report: LoadReport): void {
     this.#backends.onReport(id, report);
   }
 
-  /** Periodic work; the host calls it about ten times a second. */
+  /** Performs the periodic work; the host calls it about ten times a second. */
   tick(): void {
     this.#backends.tick();
-    this.#endSilent();
+    this.#failSilent();
     this.#migrate();
-    this.#expire();
-    this.#pumpAll();
+    this.#refuseExpired();
+    this.#dispatchAll();
   }
 
-  #endSilent(): void {
+  #failSilent(): void {
     this.#recovery.findSilent().forEach(record => {
       const { attempt, request } = record;
       if (!attempt) {
@@ -199,20 +209,20 @@
         tokensDelivered: record.tokensDelivered,
       });
       this.#cancelAttempt(record, 'migrated');
-      this.#recovery.displaceMigrated(record);
-      this.#dispatch.pump(poolKey(record.request.target));
+      this.#recovery.requeueMigrated(record);
+      this.#dispatch.dispatchFromPool(poolKey(record.request.target));
     });
   }
 
-  #expire(): void {
+  #refuseExpired(): void {
     const nowMs = this.board.clock();
     this.board.queues.forEach(queue => {
       queue.takeExpired(nowMs).forEach(record => {
-        this.#leaveQueue(record);
+        this.#removeFromQueue(record);
         this.#end(record);
         this.#admission.refuse(record, {
           code: record.tokensDelivered > 0 ? 'streamCut' : 'queueWaitExceeded',
-          retryAfterMs: EXPIRED_RETRY_MS,
+          retryAfterMs: EXPIRED_RETRY_AFTER_MS,
           predictedWaitMs: nowMs - record.arrivedAtMs,
           budgetMs: record.rules.maxQueueMs,
         });
@@ -220,15 +230,15 @@
     });
   }
 
-  #pumpAll(): void {
+  #dispatchAll(): void {
     this.board.queues.forEach((queue, pool) => {
       if (queue.length > 0) {
-        this.#dispatch.pump(pool);
+        this.#dispatch.dispatchFromPool(pool);
       }
     });
   }
 
-  #current(id: RequestId, attempt: number): RequestRecord | undefined {
+  #currentRecord(id: RequestId, attempt: number): RequestRecord | undefined {
     const record = this.board.requests.get(id);
     return record?.state === 'running' && record.attempt?.number === attempt
       ? record
@@ -239,10 +249,10 @@
     if (record.attempt) {
       this.board.effects.cancel(record, record.attempt, reason);
     }
-    this.#vacate(record);
+    this.#freeSlot(record);
   }
 
-  #vacate(record: RequestRecord): void {
+  #freeSlot(record: RequestRecord): void {
     const { backends, cfg } = this.board;
     const pool = poolKey(record.request.target);
     loadOf(this.board, pool).inFlight[record.rules.tier] -= 1;
@@ -257,8 +267,8 @@
     }
   }
 
-  /** Requests that were displaced stand outside the class queues. */
-  #leaveQueue(record: RequestRecord): void {
+  /** Updates the counts of the class queue; displaced requests are not part of it. */
+  #removeFromQueue(record: RequestRecord): void {
     if (record.attempts > 0) {
       return;
     }
--- a/packages/decisions/src/blackboard/OrganisationQueue.ts
+++ b/packages/decisions/src/blackboard/OrganisationQueue.ts
@@ -1,28 +1,30 @@
 import type { RequestRecord } from './RoutedRequest.js';
 
-const COMPACT_AFTER = 64;
+/** Removed records after which the array may be compacted. */
+const COMPACT_AFTER_RECORDS = 64;
 
-/** First-in first-out line of one organisation inside one class. */
+/** FIFO queue of one organisation within one class. */
 export class OrganisationQueue {
-  /** Work served so far divided by weight; the smallest is served next. */
+  /** Work served so far divided by the weight; the smallest value is served next. */
   virtualTime = 0;
+  /** Expected tokens of all queued requests. */
   queuedTokens = 0;
-  /** Whether the line stands in the heap of its class. */
+  /** Whether the queue is in the heap of its class. */
   waiting = false;
   weight = 1;
   #records: RequestRecord[] = [];
-  #first = 0;
+  #headIndex = 0;
 
   push(record: RequestRecord): void {
     this.#records.push(record);
   }
 
-  /** @returns the first record that is still queued; ended ones are skipped */
+  /** @returns the first record that is still queued; records that ended are removed */
   peek(): RequestRecord | undefined {
-    let head = this.#records[this.#first];
+    let head = this.#records[this.#headIndex];
     while (head && head.state !== 'queued') {
       this.#dropHead();
-      head = this.#records[this.#first];
+      head = this.#records[this.#headIndex];
     }
     return head;
   }
@@ -33,10 +35,13 @@
   }
 
   #dropHead(): void {
-    this.#first += 1;
-    if (this.#first > COMPACT_AFTER && this.#first * 2 > this.#records.length) {
-      this.#records = this.#records.slice(this.#first);
-      this.#first = 0;
+    this.#headIndex += 1;
+    if (
+      this.#headIndex > COMPACT_AFTER_RECORDS &&
+      this.#headIndex * 2 > this.#records.length
+    ) {
+      this.#records = this.#records.slice(this.#headIndex);
+      this.#headIndex = 0;
     }
   }
 }
--- a/packages/decisions/src/controllers/DispatchController.ts
+++ b/packages/decisions/src/controllers/DispatchController.ts
@@ -15,28 +15,35 @@
 import { explain } from '../util/explain.js';
 import { poolKey } from '../util/poolKey.js';
 
-const MAX_PREFIXES = 512;
-/** Requests' worth of credit that a class may save up. */
+const MAX_PREFIXES_PER_SERVER = 512;
+/** Maximum credit of a class, as a multiple of its mean queued request. */
 const MAX_CREDIT_REQUESTS = 2;
 
-/** Policies that the dispatch of queued work is made of. */
+/** Policies that control the dispatch of queued requests. */
 export interface DispatchPolicies {
   readonly ordering: OrderingPolicy;
   readonly routing: RoutingPolicy;
   readonly concurrency: ConcurrencyPolicy;
 }
 
-function rememberPrefix(view: BackendView, record: RequestRecord): void {
+function recordPrefix(view: BackendView, record: RequestRecord): void {
   const { prefixHash, promptTokens } = record.request;
   view.prefixes.delete(prefixHash);
   view.prefixes.set(prefixHash, promptTokens);
-  if (view.prefixes.size > MAX_PREFIXES) {
+  if (view.prefixes.size > MAX_PREFIXES_PER_SERVER) {
     const [oldest] = view.prefixes.keys();
     view.prefixes.delete(oldest ?? prefixHash);
   }
 }
 
-/** Guaranteed shares accrue on all waiting classes and are paid by service. */
+/**
+ * Adds credit for the guaranteed share of each waiting class that was not served, and
+ * deducts the cost from the class that was.
+ *
+ * @param queue - queue of the pool
+ * @param served - class that was served
+ * @param cost - expected tokens of the dispatched request
+ */
 function accrueCredit(queue: RequestQueue, served: ClassQueue, cost: number) {
   queue.classes
     .filter(other => other !== served && other.length > 0)
@@ -49,15 +56,15 @@
   served.credit = Math.max(0, served.credit - cost);
 }
 
-/** Sends queued work to backend servers as room appears. */
+/** Dispatches queued requests to backend servers as slots become free. */
 export class DispatchController {
   constructor(
     private readonly board: Blackboard,
     private readonly policies: DispatchPolicies,
   ) {}
 
-  /** Dispatches from the queue of one pool until no server has room. */
-  pump(pool: string): void {
+  /** Dispatches from the queue of one pool until no request can be dispatched. */
+  dispatchFromPool(pool: string): void {
     const queue = queueOf(this.board, pool);
     const views = this.board.pools.get(pool) ?? [];
     let sent = true;
@@ -68,8 +75,8 @@
     }
   }
 
-  /** Chooses a server for a request without sending it. */
-  choose(record: RequestRecord): RoutingChoice {
+  /** Chooses a server for a request without dispatching it. */
+  chooseServer(record: RequestRecord): RoutingChoice {
     const views = this.board.pools.get(poolKey(record.request.target)) ?? [];
     return this.#route(record, views);
   }
@@ -84,7 +91,7 @@
     views: readonly BackendView[],
   ): boolean {
     const record = queue.peekDisplaced();
-    if (!record || !this.#hasRoom(record, views)) {
+    if (!record || !this.#hasFreeSlot(record, views)) {
       return false;
     }
     const choice = this.#route(record, views);
@@ -103,7 +110,7 @@
       return false;
     }
     const { concurrency } = this.policies;
-    if (!this.#hasRoom(record, views)) {
+    if (!this.#hasFreeSlot(record, views)) {
       return false;
     }
     if (!next.guaranteed && !concurrency.mayStart(record, views)) {
@@ -119,8 +126,8 @@
     return true;
   }
 
-  /** Cheap check that spares the full comparison when every server is full. */
-  #hasRoom(record: RequestRecord, views: readonly BackendView[]): boolean {
+  /** Cheap check that avoids running the routing policy when all servers are full. */
+  #hasFreeSlot(record: RequestRecord, views: readonly BackendView[]): boolean {
     const { slots } = this.policies.concurrency;
     return views.some(view => view.inFlight < slots(view, record));
   }
@@ -143,9 +150,9 @@
     record.attempts = attempt.number;
     record.attempt = attempt;
     record.state = 'running';
-    record.flowing = false;
+    record.attemptHasTokens = false;
     record.lastProgressAtMs = nowMs;
-    this.#occupy(view, record);
+    this.#takeSlot(view, record);
     explain(board, record, {
       kind: 'routed',
       backendServer: view.server.id,
@@ -156,7 +163,7 @@
     board.effects.dispatch(record, attempt);
   }
 
-  #occupy(view: BackendView, record: RequestRecord): void {
+  #takeSlot(view: BackendView, record: RequestRecord): void {
     const { rules } = record;
     view.inFlight += 1;
     loadOf(this.board, poolKey(record.request.target)).inFlight[rules.tier] +=
@@ -169,6 +176,6 @@
       view.tightestBetweenTokensMs,
       rules.betweenTokensTargetMs,
     );
-    rememberPrefix(view, record);
+    recordPrefix(view, record);
   }
 }
--- a/packages/decisions/src/controllers/ProgressController.ts
+++ b/packages/decisions/src/controllers/ProgressController.ts
@@ -4,32 +4,39 @@
 import { explain } from '../util/explain.js';
 import { smooth } from '../util/smooth.js';
 
-const BETWEEN_TOKENS_SHARE = 0.05;
-const FIRST_TOKEN_SHARE = 0.1;
+/** Weights of a new sample in the moving averages of the latencies. */
+const BETWEEN_TOKENS_WEIGHT = 0.05;
+const FIRST_TOKEN_WEIGHT = 0.1;
 
-/** Follows running requests and learns from their latency. */
+/** Tracks the progress of running requests and updates the latency averages of servers. */
 export class ProgressController {
   constructor(private readonly board: Blackboard) {}
 
   /**
-   * Takes note of tokens that reached the caller.
+   * Records tokens that reached the caller.
    *
    * @param record - the running request
-   * @param tokens - tokens since the last call, at least 1
+   * @param tokens - number of tokens since the last call; at least 1
    */
   onTokens(record: RequestRecord, tokens: number): void {
     const nowMs = this.board.clock();
     const view = this.#viewOf(record);
     if (view && record.attempt) {
-      this.#learn(view, record, record.attempt.dispatchedAtMs, tokens, nowMs);
+      this.#updateLatencies(
+        view,
+        record,
+        record.attempt.dispatchedAtMs,
+        tokens,
+        nowMs,
+      );
     }
     record.firstTokenAtMs ??= nowMs;
-    record.flowing = true;
+    record.attemptHasTokens = true;
     record.tokensDelivered += tokens;
     record.lastProgressAtMs = nowMs;
   }
 
-  /** Takes note of the end of a whole answer. */
+  /** Records the end of a complete response. */
   onFinished(record: RequestRecord): void {
     const { board } = this;
     const { request, rules } = record;
@@ -60,7 +67,7 @@
     }
   }
 
-  #learn(
+  #updateLatencies(
     view: BackendView,
     record: RequestRecord,
     dispatchedAtMs: number,
@@ -68,12 +75,12 @@
     nowMs: number,
   ): void {
     view.samples += 1;
-    if (!record.flowing) {
+    if (!record.attemptHasTokens) {
       const waitedMs = nowMs - dispatchedAtMs;
       view.firstTokenMs = smooth(
         view.firstTokenMs,
         waitedMs,
-        FIRST_TOKEN_SHARE,
+        FIRST_TOKEN_WEIGHT,
       );
       return;
     }
@@ -81,7 +88,7 @@
     view.betweenTokensMs = smooth(
       view.betweenTokensMs,
       gapMs,
-      BETWEEN_TOKENS_SHARE,
+      BETWEEN_TOKENS_WEIGHT,
     );
   }
 
--- a/packages/decisions/src/controllers/RecoveryController.ts
+++ b/packages/decisions/src/controllers/RecoveryController.ts
@@ -12,19 +12,28 @@
 import type { BackendController } from './BackendController.js';
 import type { DispatchController } from './DispatchController.js';
 
-/** When a running request counts as silent or as worth moving. */
+/** Which running requests are cancelled and dispatched again. */
 export interface RecoveryOptions {
+  /** Whether attempts without progress are treated as failed. */
   readonly detectSilence: boolean;
+  /** Whether requests are moved from stragglers to faster servers. */
   readonly migrateFromStragglers: boolean;
 }
 
+/** Minimum silence after the first token. */
 const MIN_SILENCE_MS = 750;
-const SILENCE_GAPS = 10;
-const MIN_FIRST_SILENCE_MS = 2000;
-const FIRST_SILENCE_FACTOR = 4;
+/** Silence after the first token, as a multiple of the server's time between tokens. */
+const SILENCE_GAP_FACTOR = 10;
+/** Minimum silence before the first token. */
+const MIN_FIRST_TOKEN_SILENCE_MS = 2000;
+/** Silence before the first token, as a multiple of the server's time to first token. */
+const FIRST_TOKEN_SILENCE_FACTOR = 4;
+/** Silence of a service, as a multiple of the first-token target of the class. */
 const SERVICE_SILENCE_FACTOR = 8;
 const MIN_SERVICE_SILENCE_MS = 5000;
+/** Remaining tokens below which a request is not worth migrating. */
 const MIN_TOKENS_LEFT_TO_MIGRATE = 24;
+/** Number of attempts from which a request is not migrated any more. */
 const MAX_ATTEMPTS_TO_MIGRATE = 2;
 
 function failureCode(
@@ -37,7 +46,7 @@
   return failure.ran === 'no' ? 'backendNotRun' : 'backendMaybeRan';
 }
 
-/** Deals with attempts that failed, fell silent or crawl. */
+/** Handles attempts that failed, make no progress or run on a straggler. */
 export class RecoveryController {
   constructor(
     private readonly board: Blackboard,
@@ -48,11 +57,11 @@
   ) {}
 
   /**
-   * Resumes, retries or ends a request whose attempt failed.
+   * Resumes, retries or fails a request whose attempt failed.
    *
-   * @param record - the request; its attempt no longer occupies the server
-   * @param failure - what is certain about the failure
-   * @returns whether the request goes on
+   * @param record - the request; the slot of its attempt is already free
+   * @param failure - what is known about the failure
+   * @returns whether the request was queued again
    */
   onFailed(record: RequestRecord, failure: AttemptFailure): boolean {
     const { board } = this;
@@ -67,13 +76,13 @@
       this.#fail(record, failure);
       return false;
     }
-    this.#explainNext(record, verdict);
-    this.#displace(record);
+    this.#explainNextAttempt(record, verdict);
+    this.#requeue(record);
     board.requests.set(record.request.id, record);
     return true;
   }
 
-  /** @returns running requests whose attempt made no progress for too long */
+  /** @returns running requests whose attempt has made no progress for too long */
   findSilent(): readonly RequestRecord[] {
     if (!this.options.detectSilence) {
       return [];
@@ -84,7 +93,7 @@
     );
   }
 
-  /** @returns running requests on stragglers that a faster server could take over */
+  /** @returns running requests on stragglers that another server can take over */
   findMigratable(): readonly RequestRecord[] {
     if (!this.options.migrateFromStragglers) {
       return [];
@@ -92,12 +101,12 @@
     return this.#running().filter(record => this.#isMigratable(record));
   }
 
-  /** Puts a request that left a straggler back in line. */
-  displaceMigrated(record: RequestRecord): void {
-    this.#displace(record);
+  /** Queues a request again whose attempt on a straggler was cancelled. */
+  requeueMigrated(record: RequestRecord): void {
+    this.#requeue(record);
   }
 
-  #displace(record: RequestRecord): void {
+  #requeue(record: RequestRecord): void {
     record.state = 'queued';
     record.attempt = null;
     const pool = poolKey(record.request.target);
@@ -122,7 +131,10 @@
     });
   }
 
-  #explainNext(record: RequestRecord, verdict: 'resume' | 'retry'): void {
+  #explainNextAttempt(
+    record: RequestRecord,
+    verdict: 'resume' | 'retry',
+  ): void {
     const { attempt } = record;
     if (!attempt) {
       return;
@@ -155,9 +167,11 @@
   }
 
   /**
-   * A connection can stay open while nothing comes through it any more, so
-   * silence is judged by progress: against the pace of the server once tokens
-   * flow, against the target before the first one.
+   * Time without progress after which an attempt counts as silent, in milliseconds.
+   *
+   * A connection can stay open although no data arrives any more, so silence is detected
+   * by lack of progress. The bound depends on the server's time between tokens after the
+   * first token, and on the latency target and the server's time to first token before it.
    */
   #silenceBoundMs(record: RequestRecord): number {
     const { rules, request, attempt } = record;
@@ -168,14 +182,14 @@
       );
     }
     const view = attempt && this.board.backends.get(attempt.backendServer);
-    if (record.flowing) {
+    if (record.attemptHasTokens) {
       const paceMs = view?.betweenTokensMs ?? 0;
-      return Math.max(MIN_SILENCE_MS, paceMs * SILENCE_GAPS);
+      return Math.max(MIN_SILENCE_MS, paceMs * SILENCE_GAP_FACTOR);
     }
     return Math.max(
-      MIN_FIRST_SILENCE_MS,
+      MIN_FIRST_TOKEN_SILENCE_MS,
       rules.firstTokenTargetMs,
-      (view?.firstTokenMs ?? 0) * FIRST_SILENCE_FACTOR,
+      (view?.firstTokenMs ?? 0) * FIRST_TOKEN_SILENCE_FACTOR,
     );
   }
 
@@ -191,7 +205,7 @@
       record.attempts < MAX_ATTEMPTS_TO_MIGRATE &&
       record.tokensDelivered > 0 &&
       left >= MIN_TOKENS_LEFT_TO_MIGRATE &&
-      this.dispatch.choose(record).view !== undefined
+      this.dispatch.chooseServer(record).view !== undefined
     );
   }
 }
--- a/packages/decisions/tests/membership/PeerProbes.test.ts
+++ b/packages/decisions/tests/membership/PeerProbes.test.ts
@@ -9,7 +9,7 @@
 const OPTIONS = { periodMs: PERIOD_MS, answerMs: 400, missesToSuspect: 3 };
 const STATE = { revision: 1, inFlight: 0 };
 
-const factsOf = (name: string) => ({
+const identityOf = (name: string) => ({
   instance: brand<InstanceId>(name),
   failureDomain: brand<FailureDomainId>('domain-a'),
   callerAddress: `http://${name}`,
@@ -25,33 +25,36 @@
   readonly heartbeat: ReturnType<Membership['message']>;
 }
 
-interface Node {
+interface FleetNode {
   readonly membership: Membership;
   readonly probes: PeerProbes;
-  /** Until when the process is busy or has no processor. */
-  heldUpUntilMs: number;
+  /** Until when the process is stalled. */
+  stalledUntilMs: number;
   nextRoundMs: number;
-  /** Datagrams that nobody has read yet. */
+  /** Received datagrams that the process has not read yet. */
   readonly inbox: Datagram[];
 }
 
+/** Disturbances of the fleet. */
 interface Conditions {
-  /** Part of the datagrams that get lost. */
+  /** Share of the datagrams that get lost, between 0 and 1. */
   readonly loss: number;
-  /** Time that an instance is held up, each time; 0 for never. */
-  readonly heldUpMs: number;
-  /** Time between two such times. */
+  /** Length of each stall of an instance, in milliseconds; 0 for none. */
+  readonly stallMs: number;
+  /** Mean time between two stalls of an instance, in milliseconds. */
   readonly everyMs: number;
 }
 
-/** Instances on one virtual clock that ask each other by datagrams. */
+/** Instances on one virtual clock that probe each other by datagrams. */
 class ProbedFleet {
   nowMs = 0;
-  readonly #nodes = new Map<string, Node>();
+  readonly #nodes = new Map<string, FleetNode>();
   readonly #down = new Set<string>();
-  #flying: Datagram[] = [];
+  #inTransit: Datagram[] = [];
   readonly #random = createRandom(7);
+  /** Number of times that a running instance was suspected. */
   suspicions = 0;
+  /** Number of times that a running instance was considered failed. */
   failures = 0;
 
   constructor(
@@ -62,7 +65,7 @@
     names.forEach((name, index) => {
       const clock = (): number => this.nowMs;
       const membership = new Membership(
-        factsOf(name),
+        identityOf(name),
         clock,
         createRandom(index + 1),
         {
@@ -74,7 +77,7 @@
       );
       membership.onList(
         names.map(other => ({
-          ...factsOf(other),
+          ...identityOf(other),
           id: brand<InstanceId>(other),
           state: 'live' as const,
         })),
@@ -82,17 +85,19 @@
       this.#nodes.set(name, {
         membership,
         probes: new PeerProbes(membership, clock, OPTIONS),
-        heldUpUntilMs: 0,
+        stalledUntilMs: 0,
         nextRoundMs: this.#random() * PERIOD_MS,
         inbox: [],
       });
     });
   }
 
+  /** Stops an instance for good. */
   kill(name: string): void {
     this.#down.add(name);
   }
 
+  /** States of one instance as seen by all others that are not down. */
   statesOf(name: string): readonly string[] {
     return [...this.#nodes]
       .filter(([other]) => other !== name && !this.#down.has(other))
@@ -106,7 +111,7 @@
     const untilMs = this.nowMs + ms;
     while (this.nowMs < untilMs) {
       this.nowMs += STEP_MS;
-      this.#carry();
+      this.#deliver();
       this.#nodes.forEach((node, name) => {
         if (!this.#down.has(name)) {
           this.#step(name, node);
@@ -115,36 +120,36 @@
     }
   }
 
-  #carry(): void {
-    const arrived = this.#flying.filter(({ atMs }) => atMs <= this.nowMs);
-    this.#flying = this.#flying.filter(({ atMs }) => atMs > this.nowMs);
+  #deliver(): void {
+    const arrived = this.#inTransit.filter(({ atMs }) => atMs <= this.nowMs);
+    this.#inTransit = this.#inTransit.filter(({ atMs }) => atMs > this.nowMs);
     arrived.forEach(datagram => {
       this.#nodes.get(datagram.to)?.inbox.push(datagram);
     });
   }
 
-  #step(name: string, node: Node): void {
-    const { heldUpMs, everyMs } = this.conditions;
-    if (heldUpMs > 0 && this.#random() < STEP_MS / everyMs) {
-      node.heldUpUntilMs = this.nowMs + heldUpMs;
+  #step(name: string, node: FleetNode): void {
+    const { stallMs, everyMs } = this.conditions;
+    if (stallMs > 0 && this.#random() < STEP_MS / everyMs) {
+      node.stalledUntilMs = this.nowMs + stallMs;
     }
-    if (this.nowMs < node.heldUpUntilMs) {
+    if (this.nowMs < node.stalledUntilMs) {
       return;
     }
-    // Timers come before what has arrived, as in the event loop.
+    // Timers run before received datagrams are read, as in the event loop.
     if (this.nowMs >= node.nextRoundMs) {
       node.nextRoundMs = this.nowMs + PERIOD_MS;
       this.#round(name, node);
     }
     node.inbox.splice(0).forEach(datagram => {
-      this.#take(name, node, datagram);
+      this.#receive(name, node, datagram);
     });
   }
 
-  #round(name: string, { membership, probes }: Node): void {
-    const before = this.#accused(membership);
+  #round(name: string, { membership, probes }: FleetNode): void {
+    const before = this.#falseSuspicions(membership);
     const again = probes.beginRound();
-    this.suspicions += this.#accused(membership) - before;
+    this.suspicions += this.#falseSuspicions(membership) - before;
     membership.tick();
     [...again, ...membership.targets()].forEach(member => {
       const question = probes.ask(member.peerAddress, member);
@@ -156,13 +161,17 @@
     ).length;
   }
 
-  #accused(membership: Membership): number {
+  #falseSuspicions(membership: Membership): number {
     return membership.members.filter(
       ({ id, state }) => state === 'suspect' && !this.#down.has(id),
     ).length;
   }
 
-  #take(name: string, { membership, probes }: Node, datagram: Datagram): void {
+  #receive(
+    name: string,
+    { membership, probes }: FleetNode,
+    datagram: Datagram,
+  ): void {
     const { from, question, answerTo, heartbeat } = datagram;
     probes.onHeard(brand<InstanceId>(from), answerTo);
     if (question !== 0) {
@@ -176,7 +185,7 @@
     if (!node || this.#down.has(to) || this.#random() < this.conditions.loss) {
       return;
     }
-    this.#flying.push({
+    this.#inTransit.push({
       from,
       to,
       atMs: this.nowMs + STEP_MS,
@@ -187,19 +196,19 @@
   }
 }
 
-const CALM: Conditions = { loss: 0, heldUpMs: 0, everyMs: 0 };
+const NO_DISTURBANCE: Conditions = { loss: 0, stallMs: 0, everyMs: 0 };
 
 describe('PeerProbes', ({ describe: group }) => {
-  group('instances that are short of processor', ({ it }) => {
-    // A storm of configurations takes every instance's processor for most of a
-    // second, again and again. Answers wait behind the work, and questions look
-    // unanswered though nobody is gone. Callers are told fewer addresses, and
-    // every accusation and its withdrawal costs more of the same processor.
+  group('instances that are short of CPU time', ({ it }) => {
+    // Guards against false suspicion when a burst of configuration changes repeatedly
+    // stalls every instance for most of a second: answers wait unread, so probes seem
+    // unanswered. Callers would be given fewer addresses, and spreading and refuting
+    // the suspicions would take more CPU time.
     [8, 60, 195].forEach(size => {
-      it(`does not suspect them, ${size} instances`, t => {
+      it(`are rarely suspected and never considered failed, ${size} instances`, t => {
         const fleet = new ProbedFleet(size, {
           loss: 0,
-          heldUpMs: 600,
+          stallMs: 600,
           everyMs: 1500,
         });
         fleet.run(8000);
@@ -212,9 +221,9 @@
     });
   });
 
-  group('datagrams that get lost', ({ it }) => {
-    it('suspects nobody for a few of a hundred', t => {
-      const fleet = new ProbedFleet(60, { ...CALM, loss: 0.03 });
+  group('lost datagrams', ({ it }) => {
+    it('rarely cause suspicion and never failure, with 3% loss', t => {
+      const fleet = new ProbedFleet(60, { ...NO_DISTURBANCE, loss: 0.03 });
       fleet.run(20_000);
       t.true(
         fleet.suspicions <= 3,
@@ -224,10 +233,10 @@
     });
   });
 
-  group('an instance that is gone', ({ it }) => {
+  group('an instance that was killed', ({ it }) => {
     [8, 60].forEach(size => {
-      it(`is known everywhere within six seconds, ${size} instances`, t => {
-        const fleet = new ProbedFleet(size, CALM);
+      it(`is failed on all others within six seconds, ${size} instances`, t => {
+        const fleet = new ProbedFleet(size, NO_DISTURBANCE);
         fleet.run(2000);
         fleet.kill('node-1');
         fleet.run(6000);
