--- a/packages/gateway/src/side/chooseAddresses.ts
+++ b/packages/gateway/src/side/chooseAddresses.ts
@@ -3,22 +3,23 @@
 import type { GatewayContext } from '../GatewayContext.js';
 import { isReady, ownAddress } from '../GatewayContext.js';
 
-/** Addresses in one answer, at most; callers take no more. */
+/** Maximum number of addresses in one answer; callers accept no more. */
 const MAX_ADDRESSES = 64;
 
-/** Part of the serving instances that must be live for suspects to be left out. */
-const SOUND_SHARE = 0.5;
+/** Minimum share of serving instances that must be live for suspects to be left out. */
+const MIN_LIVE_SHARE = 0.5;
 
 /**
  * Chooses the addresses that a caller may connect to.
  *
- * Others begin at a random place, or of two hundred instances the same sixty would
- * get all callers. Suspects come last, and not at all while most of the fleet is sound: a caller
- * that picks a dead one waits a second for its connection. Where most are suspects,
- * this instance is rather cut off itself, and names them all.
+ * The list of other instances starts at a random position; otherwise the same sixty of
+ * two hundred instances would get all callers. Suspects are left out while most of the
+ * fleet is live, since a caller that picks a dead instance loses a second on the
+ * connection attempt. If most instances are suspects, this one is more likely to be cut
+ * off itself, so they are included, after the live ones.
  *
- * @param context - of the instance that is asked
- * @returns caller addresses of the instances that take callers, this one first
+ * @param context - context of the instance that answers
+ * @returns addresses of the instances that accept callers, this one first
  */
 export function chooseAddresses(context: GatewayContext): readonly string[] {
   const { membership } = context;
@@ -28,7 +29,7 @@
   );
   const live = serving.filter(({ state }) => state === 'live');
   const suspects = serving.filter(({ state }) => state === 'suspect');
-  const isSound = live.length >= SOUND_SHARE * serving.length;
+  const isSound = live.length >= MIN_LIVE_SHARE * serving.length;
   const others = [
     ...rotated(live, context.router.board.random),
     ...(isSound ? [] : suspects),
@@ -37,12 +38,13 @@
 }
 
 /**
- * Time for which callers keep addresses. Some keep them three times as long, and
- * an instance that stops has eight seconds to be forgotten.
+ * Maximum time for which callers are told to keep addresses, in milliseconds. Some keep
+ * them three times as long, and callers must have forgotten an instance that stops
+ * within eight seconds.
  */
-const ADDRESS_AGE_MS = 2000;
+const MAX_ADDRESS_AGE_MS = 2000;
 
-/** @returns milliseconds for which callers may keep the addresses that they get */
+/** @returns the time for which callers may keep the addresses, in milliseconds */
 export function addressAgeMs({ settings }: GatewayContext): number {
-  return Math.min(ADDRESS_AGE_MS, settings.maxAddressAgeMs);
+  return Math.min(MAX_ADDRESS_AGE_MS, settings.maxAddressAgeMs);
 }
--- a/packages/gateway/src/side/createSideApp.ts
+++ b/packages/gateway/src/side/createSideApp.ts
@@ -4,18 +4,21 @@
 import type { GatewayContext } from '../GatewayContext.js';
 import { serveMetrics } from './serveMetrics.js';
 
-/** Adds routes that speak as the deployment's callers expect. */
+/**
+ * Adds the readiness and address routes in the form that the deployment's callers
+ * expect.
+ */
 export type SideRoutes = (
   app: FastifyInstance,
   context: GatewayContext,
 ) => void;
 
 /**
- * Creates the web application beside the callers' traffic: readiness, addresses
- * and metrics.
+ * Creates the web application that serves metrics, readiness and addresses, separate
+ * from the callers' traffic.
  *
- * @param context - of the instance
- * @param addRoutes - adds what the deployment asks for
+ * @param context - context of the instance
+ * @param addRoutes - adds the routes that depend on the deployment
  * @returns the application, not listening
  */
 export async function createSideApp(
--- a/packages/gateway/src/side/listenRaw.ts
+++ b/packages/gateway/src/side/listenRaw.ts
@@ -4,11 +4,12 @@
 import type { ListenAddress } from '../GatewaySettings.js';
 
 /**
- * Serves one web application at a further address.
+ * Serves a web application at an additional address.
  *
- * @param listener - of the application
- * @param address - host and port; the port of null settings is left out
+ * @param listener - request listener of the application
+ * @param address - host and port to listen at
  * @returns the server, listening
+ * @throws Error if the port is taken
  */
 export async function listenRaw(
   listener: RequestListener,
--- a/packages/gateway/src/side/serveMetrics.ts
+++ b/packages/gateway/src/side/serveMetrics.ts
@@ -4,8 +4,8 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Gauges are set when somebody reads them. */
-function refresh({ router, metrics, delays }: GatewayContext): void {
+/** Sets the gauges to the current state; called for each scrape. */
+function updateGauges({ router, metrics, delays }: GatewayContext): void {
   const { board } = router;
   const { rss, heapUsed } = process.memoryUsage();
   metrics.memory.set({ part: 'resident' }, rss);
@@ -31,13 +31,15 @@
   });
 }
 
-/** Serves the metrics of the instance as text. */
+/**
+ * Adds the route that serves the metrics of the instance in the Prometheus text format.
+ */
 export function serveMetrics(
   app: FastifyInstance,
   context: GatewayContext,
 ): void {
   app.get('/metrics', async (_req, reply) => {
-    refresh(context);
+    updateGauges(context);
     await reply
       .type(context.metrics.registry.contentType)
       .send(await context.metrics.registry.metrics());
