--- a/packages/gateway/src/duties/DutyCalls.ts
+++ b/packages/gateway/src/duties/DutyCalls.ts
@@ -2,38 +2,49 @@
 import type { DutyAnswer, DutyCaller } from '../ports/DutyPorts.js';
 import type { HoldingKeeper } from './HoldingKeeper.js';
 
-/** Pause after a call without an answer, in milliseconds. */
-const FAILED_PAUSE_MS = 500;
-/** Time without any answer after which another instance should try. */
-const GIVE_UP_MS = 2500;
-/** Time for which an instance that gave up leaves the duties to others. */
-const REST_MS = 10_000;
+/** Delay after a call that failed or was answered with `busy`, in milliseconds. */
+const RETRY_DELAY_MS = 500;
+/**
+ * Time without any answer after which this instance releases the duties, so that
+ * another one can try, in milliseconds.
+ */
+const RELEASE_AFTER_FAILING_MS = 2500;
+/** Time for which it then leaves the duties to other instances, in milliseconds. */
+const RELEASE_DURATION_MS = 10_000;
 
-/** Duties that the platform is called for. */
+/**
+ * Duties that need calls to the platform; the names are label values in the metrics.
+ */
 export type DutyKind = 'orders' | 'usage';
 
-/** Makes calls of the platform in the name of the holder, and watches how they go. */
+/**
+ * Makes the holder's calls to the platform, and detects that the platform is
+ * unreachable.
+ */
 export class DutyCalls {
   readonly #pausedUntilMs = new Map<DutyKind, number>();
   #failingSinceMs: number | null = null;
-  #restsUntilMs = -Infinity;
+  #releasedUntilMs = -Infinity;
 
   constructor(
     private readonly context: GatewayContext,
     private readonly keeper: HoldingKeeper,
   ) {}
 
-  /** Whether this instance doesn't reach the platform, and others may. */
-  get isCutOff(): boolean {
-    return this.context.clock() < this.#restsUntilMs;
+  /**
+   * Whether this instance can't reach the platform, and should leave the duties to
+   * others.
+   */
+  get shouldReleaseDuties(): boolean {
+    return this.context.clock() < this.#releasedUntilMs;
   }
 
   /**
-   * Makes a call, if this instance is the holder.
+   * Makes a call if this instance holds the duties and isn't waiting after a failure.
    *
-   * @param kind - what it is for
-   * @param call - made with the token of this moment
-   * @returns null where it wasn't made or got no answer
+   * @param kind - duty that the call is for
+   * @param call - makes the call with the current token
+   * @returns the answer; null if the call wasn't made or got no answer
    */
   async run(
     kind: DutyKind,
@@ -49,7 +60,7 @@
       metrics.dutyCalls.inc({ duty: kind, result: answer });
       this.#failingSinceMs = null;
       if (answer === 'busy') {
-        this.#pausedUntilMs.set(kind, clock() + FAILED_PAUSE_MS);
+        this.#pausedUntilMs.set(kind, clock() + RETRY_DELAY_MS);
       }
       return answer;
     } catch (err) {
@@ -62,13 +73,18 @@
   #onFailed(duty: DutyKind, token: number, err: unknown): void {
     const { clock, log } = this.context;
     const nowMs = clock();
-    this.#pausedUntilMs.set(duty, nowMs + FAILED_PAUSE_MS);
+    this.#pausedUntilMs.set(duty, nowMs + RETRY_DELAY_MS);
     this.#failingSinceMs ??= nowMs;
-    if (nowMs - this.#failingSinceMs > GIVE_UP_MS) {
+    if (nowMs - this.#failingSinceMs > RELEASE_AFTER_FAILING_MS) {
       this.#failingSinceMs = null;
-      this.#restsUntilMs = nowMs + REST_MS;
+      this.#releasedUntilMs = nowMs + RELEASE_DURATION_MS;
     }
     const error = err instanceof Error ? err.message : String(err);
-    log.write('dutyCallFailed', { duty, token, error, rests: this.isCutOff });
+    log.write('dutyCallFailed', {
+      duty,
+      token,
+      error,
+      rests: this.shouldReleaseDuties,
+    });
   }
 }
--- a/packages/gateway/src/duties/DutyLoop.ts
+++ b/packages/gateway/src/duties/DutyLoop.ts
@@ -9,41 +9,46 @@
 import { HoldingKeeper } from './HoldingKeeper.js';
 import { ReplicaOrdering } from './ReplicaOrdering.js';
 import { UsageReporting } from './UsageReporting.js';
-import { UsageTelling } from './UsageTelling.js';
+import { UsageForwarding } from './UsageForwarding.js';
 
-/** Time between looks at what is due, in milliseconds. */
-const STEP_MS = 100;
+/** Interval between checks for work that is due, in milliseconds. */
+const STEP_INTERVAL_MS = 100;
 
-/** Does the duties that one instance does for all, wherever they are held. */
+/**
+ * Performs the duties: tasks that exactly one instance, the holder, does for the fleet.
+ *
+ * Every instance runs this loop, to take over the duties when needed and to send its
+ * usage counts to the holder. Usage reports and replica orders run only at the holder.
+ */
 export class DutyLoop {
   readonly #keeper: HoldingKeeper;
   readonly #calls: DutyCalls;
-  readonly #telling: UsageTelling;
+  readonly #forwarding: UsageForwarding;
   readonly #reporting: UsageReporting;
   readonly #ordering: ReplicaOrdering;
   #notes: DutyNotes = NO_NOTES;
-  #endSteps: CancelTimer | null = null;
+  #cancelSteps: CancelTimer | null = null;
 
   constructor(
     private readonly context: GatewayContext,
     private readonly duties: DutyBoard,
     private readonly ports: DutyPorts,
-    peers: Pick<PeerLoop, 'spread' | 'tellUsage'>,
+    peers: Pick<PeerLoop, 'spread' | 'sendUsage'>,
   ) {
     const { platform, holding } = ports;
     this.#keeper = new HoldingKeeper(context, duties, holding, {
-      onTaken: notes => {
+      onAcquired: notes => {
         this.#notes = notes;
-        this.#reporting.begin();
+        this.#reporting.onAcquired();
         this.#ordering.takeOver(notes);
       },
-      onNews: () => {
+      onHoldingChanged: () => {
         peers.spread();
       },
     });
     this.#calls = new DutyCalls(context, this.#keeper);
-    this.#telling = new UsageTelling(context, duties, to => {
-      peers.tellUsage(to);
+    this.#forwarding = new UsageForwarding(context, duties, to => {
+      peers.sendUsage(to);
     });
     this.#reporting = new UsageReporting(
       context,
@@ -60,14 +65,16 @@
     );
   }
 
+  /** Starts the loop. */
   start(): void {
-    this.#endSteps = this.context.timers.every(STEP_MS, () => {
+    this.#cancelSteps = this.context.timers.every(STEP_INTERVAL_MS, () => {
       this.#step();
     });
   }
 
+  /** Stops the loop and closes the connection to the platform. */
   stop(): void {
-    this.#endSteps?.();
+    this.#cancelSteps?.();
     this.ports.platform.close();
   }
 
@@ -76,7 +83,7 @@
     const { settings, fleetClock } = duties;
     fleetClock.keepOnly(context.membership.instances);
     if (settings.reportsUsage) {
-      this.#telling.step();
+      this.#forwarding.step();
     }
     const isHolder = this.#keeper.token !== null;
     if (isHolder && settings.reportsUsage) {
@@ -84,7 +91,7 @@
     }
     void this.#keeper.step(
       this.#notes,
-      context.leaving || this.#calls.isCutOff,
+      context.leaving || this.#calls.shouldReleaseDuties,
     );
     if (isHolder && settings.reportsUsage) {
       void this.#report();
--- a/packages/gateway/src/duties/HoldingKeeper.ts
+++ b/packages/gateway/src/duties/HoldingKeeper.ts
@@ -11,31 +11,40 @@
 import type { HoldingStore } from '../ports/DutyPorts.js';
 import { createWakeUpWatch } from '../wakeUpWatch.js';
 
-/** Name of the calls in the metrics. */
-const CALL = 'holding';
-/** Steps that may follow each other at once: a read, a write, and a read after it. */
-const MAX_STEPS = 3;
+/** Value of the `call` label under which the calls are counted in the metrics. */
+const STORE_CALL_LABEL = 'holding';
+/** Maximum number of steps without a delay: a read, a write, and a read after it. */
+const MAX_CONSECUTIVE_STEPS = 3;
 /**
- * Pause after a call of the store that failed, in milliseconds. It grows with the rank,
- * so that few press a store that is away.
+ * Delay after a failed store call, in milliseconds. It grows with the instance's rank,
+ * to limit the load on a store that is unavailable.
  */
-const FAILED_PAUSE_MS = 300;
-const RANK_PAUSE_MS = 250;
-const MAX_FAILED_PAUSE_MS = 10_000;
-
-/** What a keeper is told by those who do the duties. */
-export interface KeeperListener {
-  /** Told that this instance holds the duties from now on. */
-  readonly onTaken: (notes: DutyNotes) => void;
-  /** Told that others should hear of the holding soon. */
-  readonly onNews: () => void;
+const RETRY_DELAY_MS = 300;
+const RETRY_DELAY_PER_RANK_MS = 250;
+const MAX_RETRY_DELAY_MS = 10_000;
+
+/** Callbacks for changes of who holds the duties. */
+export interface HoldingListener {
+  /**
+   * Called when this instance has acquired the duties, with the notes that are in the
+   * store.
+   */
+  readonly onAcquired: (notes: DutyNotes) => void;
+  /**
+   * Called when peers should learn soon that the duties changed hands or were released.
+   */
+  readonly onHoldingChanged: () => void;
 }
 
-/** Takes, renews and gives up the holding of the duties. */
+/**
+ * Acquires, renews and releases the lease on the duties, which is a row in the store.
+ *
+ * `HolderLease` decides on each step; this class carries it out.
+ */
 export class HoldingKeeper {
   readonly #lease: HolderLease;
-  readonly #stoodStillMs: () => number;
-  #isAtWork = false;
+  readonly #suspendedMs: () => number;
+  #isRunning = false;
   #wasHolder = false;
   #pausedUntilMs = -Infinity;
 
@@ -43,7 +52,7 @@
     private readonly context: GatewayContext,
     private readonly duties: DutyBoard,
     private readonly store: HoldingStore,
-    private readonly listener: KeeperListener,
+    private readonly listener: HoldingListener,
   ) {
     const { settings, clock, router } = context;
     const { instance, peerAddress } = settings;
@@ -54,62 +63,68 @@
       clock,
       storeClock: router.board.storeClock,
     });
-    this.#stoodStillMs = createWakeUpWatch(clock, duties.fleetClock.timeOfDay);
+    this.#suspendedMs = createWakeUpWatch(clock, duties.fleetClock.timeOfDay);
   }
 
-  /** Token to act with; null where this instance doesn't hold the duties. */
+  /** Fencing token for calls; null if this instance doesn't hold the duties. */
   get token(): number | null {
-    // A machine that stood still may have lost the lease without its clock showing it.
-    if (this.#stoodStillMs() > 0) {
+    // While the machine was suspended its clock stood still, so the lease may have
+    // expired.
+    if (this.#suspendedMs() > 0) {
       this.drop();
     }
     return this.#lease.token;
   }
 
-  /** What the store is known to hold for the next holder. */
+  /** Notes for the next holder that are known to be in the store. */
   get confirmed(): DutyNotes {
     return this.#lease.confirmed;
   }
 
-  /** Reads the store before anything else is done. */
+  /** Stops acting as the holder until the row has been read again. */
   drop(): void {
     this.#lease.drop();
   }
 
-  /** Reads the store with the next step, to see whether the duties are still held. */
+  /** Reads the row in the next step, to check whether the duties are still held. */
   verify(): void {
     this.#lease.onUnanswered();
   }
 
-  /** Takes a new token, for a call that may be carried out late. */
+  /**
+   * Takes a new token, so that the platform rejects an earlier call that arrives late.
+   */
   renumber(): void {
     this.#lease.renumber();
   }
 
   /**
-   * Does what is due.
+   * Carries out the steps that are due.
    *
-   * @param notes - to hand on, where this instance is the holder
-   * @param givesUp - whether it must not hold the duties
+   * @param notes - notes for the next holder, written if this instance is the holder
+   * @param givesUp - whether this instance must release the duties, or not acquire them
    */
   async step(notes: DutyNotes, givesUp: boolean): Promise<void> {
     const { clock } = this.context;
-    if (this.#isAtWork || clock() < this.#pausedUntilMs) {
+    if (this.#isRunning || clock() < this.#pausedUntilMs) {
       return;
     }
-    this.#isAtWork = true;
+    this.#isRunning = true;
     try {
       let steps = 0;
-      while (steps < MAX_STEPS && (await this.#once(notes, givesUp))) {
+      while (
+        steps < MAX_CONSECUTIVE_STEPS &&
+        (await this.#runStep(notes, givesUp))
+      ) {
         steps += 1;
       }
     } catch (err) {
       this.#lease.onUnanswered();
-      this.#pausedUntilMs = clock() + this.#failedPauseMs;
-      this.#noteFailure(err);
+      this.#pausedUntilMs = clock() + this.#retryDelayMs;
+      this.#logFailure(err);
     } finally {
-      this.#isAtWork = false;
-      this.#noteChange();
+      this.#isRunning = false;
+      this.#reportTransition();
     }
   }
 
@@ -118,17 +133,20 @@
     return rankOf(self.instance, instances);
   }
 
-  /** The holder tries again soon, whatever its rank, before its lease ends. */
-  get #failedPauseMs(): number {
+  /**
+   * Doesn't depend on the rank for the holder, which has to renew before its lease
+   * ends.
+   */
+  get #retryDelayMs(): number {
     const rank = this.#lease.token === null ? this.#rank : 0;
     return Math.min(
-      MAX_FAILED_PAUSE_MS,
-      FAILED_PAUSE_MS + rank * RANK_PAUSE_MS,
+      MAX_RETRY_DELAY_MS,
+      RETRY_DELAY_MS + rank * RETRY_DELAY_PER_RANK_MS,
     );
   }
 
-  /** @returns whether another step may follow at once */
-  async #once(notes: DutyNotes, givesUp: boolean): Promise<boolean> {
+  /** @returns whether another step may follow without a delay */
+  async #runStep(notes: DutyNotes, givesUp: boolean): Promise<boolean> {
     const { context, duties } = this;
     const { clock, metrics } = context;
     const { token } = this;
@@ -144,40 +162,42 @@
     const askedMs = clock();
     if (step.kind === 'read') {
       const { row, storeMs } = await this.store.read();
-      metrics.storeCalls.inc({ call: CALL, result: 'ok' });
-      this.#readClock(storeMs, askedMs);
+      metrics.storeCalls.inc({ call: STORE_CALL_LABEL, result: 'ok' });
+      this.#updateStoreClock(storeMs, askedMs);
       this.#lease.onRead(row, storeMs);
-      this.#tell();
+      this.#publishHolding();
       return true;
     }
     const written = await this.store.write(step.write);
-    metrics.storeCalls.inc({ call: CALL, result: 'ok' });
+    metrics.storeCalls.inc({ call: STORE_CALL_LABEL, result: 'ok' });
     if (written.kind === 'refused') {
       this.#lease.onUnanswered();
       return true;
     }
-    this.#readClock(written.storeMs, askedMs);
+    this.#updateStoreClock(written.storeMs, askedMs);
     this.#lease.onWritten(step.write, written.version, askedMs);
-    this.#tell();
-    this.#noteChange();
+    this.#publishHolding();
+    this.#reportTransition();
     return false;
   }
 
-  #readClock(storeMs: number, askedMs: number): void {
+  #updateStoreClock(storeMs: number, askedMs: number): void {
     this.context.router.board.storeClock.read(storeMs, askedMs);
   }
 
-  #tell(): void {
+  /** Records the holding for the messages to peers. */
+  #publishHolding(): void {
     const holding = this.#lease.known;
     if (!holding) {
       return;
     }
     if (noteHolding(this.duties, newsOf(holding))) {
-      this.listener.onNews();
+      this.listener.onHoldingChanged();
     }
   }
 
-  #noteChange(): void {
+  /** Logs and reports that this instance has acquired or lost the duties. */
+  #reportTransition(): void {
     const { token } = this.#lease;
     const isHolder = token !== null;
     if (isHolder === this.#wasHolder) {
@@ -188,15 +208,18 @@
     metrics.dutyToken.set(token ?? 0);
     if (isHolder) {
       log.write('dutiesTaken', { token });
-      this.listener.onTaken(this.confirmed);
+      this.listener.onAcquired(this.confirmed);
       return;
     }
     const { instance, token: newest } = this.duties.news ?? {};
     log.write('dutiesLost', { holder: instance, token: newest });
   }
 
-  #noteFailure(err: unknown): void {
-    this.context.metrics.storeCalls.inc({ call: CALL, result: 'failed' });
+  #logFailure(err: unknown): void {
+    this.context.metrics.storeCalls.inc({
+      call: STORE_CALL_LABEL,
+      result: 'failed',
+    });
     const error = err instanceof Error ? err.message : String(err);
     this.context.log.write('holdingFailed', {
       error,
--- a/packages/gateway/src/duties/ReplicaOrdering.ts
+++ b/packages/gateway/src/duties/ReplicaOrdering.ts
@@ -22,33 +22,41 @@
 import type { DutyCalls } from './DutyCalls.js';
 import type { HoldingKeeper } from './HoldingKeeper.js';
 
-/** Time between looks at the load, in milliseconds. */
-const LOOK_EVERY_MS = 300;
-/** Time after taking the duties in which the load of the fleet is not known yet. */
-const LEARN_MS = 1000;
-/** Time without another replica after which all that started with the fleet are there. */
-const SETTLE_MS = 2000;
+/** Interval between evaluations of the load, in milliseconds. */
+const CHECK_INTERVAL_MS = 300;
+/**
+ * Time after acquiring the duties until the load of the fleet is known, in
+ * milliseconds.
+ */
+const LOAD_DISCOVERY_MS = 1000;
+/**
+ * Time without a change in the number of replicas after which all those that start with
+ * the fleet are considered present, in milliseconds.
+ */
+const SETTLED_AFTER_MS = 2000;
 
-interface FirstCount {
+interface InitialCount {
+  /** Replicas that can't be reclaimed. */
   readonly lasting: number;
+  /** Local time since which the number is unchanged. */
   readonly sinceMs: number;
 }
 
-interface KnownNeed {
+interface NeedEstimate {
   readonly need: CapacityNeed;
-  /** False while replicas that started with the fleet are still coming. */
+  /** False while replicas that start with the fleet are still appearing. */
   readonly isSettled: boolean;
 }
 
-/** Orders and gives back replicas, while this instance is the holder. */
+/** Orders and gives back replicas while this instance holds the duties. */
 export class ReplicaOrdering {
   readonly #orders: ReplicaOrders;
   readonly #needs = new Map<ServiceId, CapacityNeed>();
-  /** Replicas that stand before the first were given back, and since when. */
-  readonly #first = new Map<ServiceId, FirstCount>();
-  #isAtWork = false;
-  #lookedMs = -Infinity;
-  #learntMs = Infinity;
+  /** Replicas of services whose need isn't known yet. */
+  readonly #initialCounts = new Map<ServiceId, InitialCount>();
+  #isRunning = false;
+  #lastCheckMs = -Infinity;
+  #loadKnownMs = Infinity;
 
   constructor(
     private readonly context: GatewayContext,
@@ -64,7 +72,7 @@
     return this.#orders.inForce;
   }
 
-  /** What the services need, for the next holder. */
+  /** Replicas that each service needs, for the next holder. */
   get needs(): readonly ServiceNeed[] {
     return [...this.#needs].map(([service, { replicas }]) => ({
       service,
@@ -72,7 +80,7 @@
     }));
   }
 
-  /** Goes on where the holder before left off. */
+  /** Continues with the orders and needs of the former holder. */
   takeOver({ orders, needs }: Pick<DutyNotes, 'needs' | 'orders'>): void {
     const { clock } = this.context;
     this.#orders.takeOver(orders);
@@ -80,38 +88,41 @@
     needs.forEach(({ service, replicas }) => {
       this.#needs.set(service, new CapacityNeed(replicas, clock));
     });
-    this.#learntMs = clock() + LEARN_MS;
+    this.#loadKnownMs = clock() + LOAD_DISCOVERY_MS;
   }
 
   /**
-   * Looks at the load, and places the orders that are due.
+   * Evaluates the load, and places the orders that are due.
    *
-   * @returns whether any order changed
+   * @returns whether any order was accepted
    */
   async step(): Promise<boolean> {
     const { clock } = this.context;
     const nowMs = clock();
     const isDue =
-      nowMs - this.#lookedMs >= LOOK_EVERY_MS && nowMs >= this.#learntMs;
-    if (this.#isAtWork || !isDue) {
+      nowMs - this.#lastCheckMs >= CHECK_INTERVAL_MS &&
+      nowMs >= this.#loadKnownMs;
+    if (this.#isRunning || !isDue) {
       return false;
     }
-    this.#isAtWork = true;
-    this.#lookedMs = nowMs;
+    this.#isRunning = true;
+    this.#lastCheckMs = nowMs;
     try {
-      const due = this.#scaled.flatMap(service => this.#due(service));
+      const due = this.#scaledServices.flatMap(service =>
+        this.#dueOrders(service),
+      );
       return await this.#place(due);
     } finally {
-      this.#isAtWork = false;
+      this.#isRunning = false;
     }
   }
 
-  get #scaled(): readonly RoutedService[] {
+  get #scaledServices(): readonly RoutedService[] {
     const { table } = this.context.router.board;
     return (table?.cfg.services ?? []).filter(({ scaling }) => scaling);
   }
 
-  #due(service: RoutedService): readonly ReplicaOrder[] {
+  #dueOrders(service: RoutedService): readonly ReplicaOrder[] {
     const { scaling, id, engine } = service;
     if (!scaling) {
       return [];
@@ -152,27 +163,27 @@
   }
 
   /**
-   * What a service needs. Before any load was seen, that is what stands there, as its
-   * operators thought right.
+   * Returns the estimated need of a service. Without an earlier estimate it starts from
+   * the replicas that exist, which are what the operators provided.
    *
-   * @param service - that is looked at
-   * @param lasting - its replicas that nobody can reclaim
+   * @param service - the service
+   * @param lasting - number of its replicas that can't be reclaimed
    */
-  #needOf(service: ServiceId, lasting: number): KnownNeed {
+  #needOf(service: ServiceId, lasting: number): NeedEstimate {
     const known = this.#needs.get(service);
     if (known) {
       return { need: known, isSettled: true };
     }
     const { clock } = this.context;
     const need = new CapacityNeed(lasting, clock);
-    const first = this.#first.get(service);
+    const first = this.#initialCounts.get(service);
     if (first?.lasting !== lasting) {
-      this.#first.set(service, { lasting, sinceMs: clock() });
+      this.#initialCounts.set(service, { lasting, sinceMs: clock() });
     }
     const isSettled =
       lasting > 0 &&
       first?.lasting === lasting &&
-      clock() - first.sinceMs >= SETTLE_MS;
+      clock() - first.sinceMs >= SETTLED_AFTER_MS;
     if (isSettled) {
       this.#needs.set(service, need);
     }
@@ -188,7 +199,7 @@
     );
     if (answer === null || answer === 'busy') {
       if (answer === null) {
-        // Carried out late, it must not take back what is ordered after it.
+        // If the platform executes the call late, it must not undo a later order.
         this.keeper.renumber();
       }
       return false;
@@ -197,7 +208,7 @@
     log.write('replicasOrdered', { ...order, answer });
     if (answer === 'refused') {
       this.#orders.onNoneLeft(order);
-      // A higher token is refused the same way; the store tells which it is.
+      // A stale token is refused the same way; reading the row shows which it was.
       this.keeper.verify();
     } else {
       this.#orders.onAccepted(order);
--- a/packages/gateway/src/duties/UsageForwarding.ts
+++ b/packages/gateway/src/duties/UsageForwarding.ts
@@ -5,36 +5,41 @@
 import type { GatewayContext } from '../GatewayContext.js';
 
 /**
- * Time between tellings of a window that is not over, in milliseconds. In a small fleet
- * each instance counts a larger part, and more is lost with one that dies.
+ * Maximum interval between reports of a window that is still open, in milliseconds. It
+ * is shorter in a small fleet, where each instance counts a larger part of the requests
+ * and a crash loses more.
  */
-const OPEN_EVERY_MS = 1000;
-const OPEN_EVERY_MS_PER_INSTANCE = 25;
-/** The same while a window that is over is not decided. */
-const CLOSED_EVERY_MS = 400;
-/** Time after a window in which its last starts are counted. */
-const CLOSE_AFTER_MS = 80;
+const OPEN_WINDOW_INTERVAL_MS = 1000;
+/** Interval for each instance of the fleet, up to the maximum, in milliseconds. */
+const OPEN_WINDOW_INTERVAL_PER_INSTANCE_MS = 25;
+/** Interval while the usage of a closed window isn't decided, in milliseconds. */
+const UNDECIDED_WINDOW_INTERVAL_MS = 400;
+/**
+ * Time after a window in which its last requests are still counted, in milliseconds.
+ */
+const WINDOW_CLOSE_DELAY_MS = 80;
 
-/** Tells an instance all that this one counted. */
-export type UsageTeller = (to: InstanceId) => void;
+/** Sends the usage counts of this instance to another one. */
+export type SendUsage = (to: InstanceId) => void;
 
 /**
- * Tells the holder, and whoever would be the next, what this instance counted.
+ * Sends this instance's usage counts to the holder of the duties and to its deputy, the
+ * instance that would take over from it.
  *
- * What an instance counted dies with it but for what it told, and what the holder was
- * told dies with that one but for what the next holder was told, too.
+ * Counts that an instance hasn't sent are lost if it crashes. Those that only the
+ * holder has received are lost if the holder crashes, so the deputy gets them as well.
  */
-export class UsageTelling {
-  readonly #toldMs = new Map<InstanceId, number>();
-  readonly #toldWindow = new Map<InstanceId, number>();
+export class UsageForwarding {
+  readonly #sentAtMs = new Map<InstanceId, number>();
+  readonly #sentClosedWindow = new Map<InstanceId, number>();
 
   constructor(
     private readonly context: GatewayContext,
     private readonly duties: DutyBoard,
-    private readonly tell: UsageTeller,
+    private readonly sendUsage: SendUsage,
   ) {}
 
-  /** Tells what is due. */
+  /** Sends the counts to each recipient for which they are due. */
   step(): void {
     const { membership, clock } = this.context;
     const { duties } = this;
@@ -45,8 +50,8 @@
       .flatMap(id => id ?? [])
       .filter(id => this.#isDue(id, nowMs))
       .forEach(id => {
-        this.#toldMs.set(id, nowMs);
-        this.#toldWindow.set(id, this.#closedWindow);
+        this.#sentAtMs.set(id, nowMs);
+        this.#sentClosedWindow.set(id, this.#closedWindow);
         if (id === membership.self.instance) {
           duties.collector.onTold({
             instance: id,
@@ -56,31 +61,34 @@
           });
           return;
         }
-        this.tell(id);
+        this.sendUsage(id);
       });
   }
 
-  /** The last window that is over. */
+  /** Number of the last window in which all requests have been counted. */
   get #closedWindow(): number {
     const { fleetClock, usage } = this.duties;
-    return usage.windowOf(fleetClock.nowMs - CLOSE_AFTER_MS) - 1;
+    return usage.windowOf(fleetClock.nowMs - WINDOW_CLOSE_DELAY_MS) - 1;
   }
 
-  get #openEveryMs(): number {
+  get #openWindowIntervalMs(): number {
     const { instances } = this.context.membership;
     return Math.min(
-      OPEN_EVERY_MS,
-      OPEN_EVERY_MS_PER_INSTANCE * instances.length,
+      OPEN_WINDOW_INTERVAL_MS,
+      OPEN_WINDOW_INTERVAL_PER_INSTANCE_MS * instances.length,
     );
   }
 
   #isDue(id: InstanceId, nowMs: number): boolean {
-    const sinceMs = nowMs - (this.#toldMs.get(id) ?? -Infinity);
+    const sinceMs = nowMs - (this.#sentAtMs.get(id) ?? -Infinity);
     const closed = this.#closedWindow;
-    if (closed > (this.#toldWindow.get(id) ?? -1)) {
+    if (closed > (this.#sentClosedWindow.get(id) ?? -1)) {
       return true;
     }
     const isDecided = closed <= (this.duties.news?.decidedThrough ?? -1);
-    return sinceMs >= (isDecided ? this.#openEveryMs : CLOSED_EVERY_MS);
+    return (
+      sinceMs >=
+      (isDecided ? this.#openWindowIntervalMs : UNDECIDED_WINDOW_INTERVAL_MS)
+    );
   }
 }
--- a/packages/gateway/src/duties/UsageReporting.ts
+++ b/packages/gateway/src/duties/UsageReporting.ts
@@ -6,10 +6,13 @@
 import type { DutyCalls } from './DutyCalls.js';
 import type { HoldingKeeper } from './HoldingKeeper.js';
 
-/** Decides the usage of the fleet and reports it, while this instance is the holder. */
+/**
+ * Determines the usage of the fleet and reports it while this instance holds the
+ * duties.
+ */
 export class UsageReporting {
-  #isAtWork = false;
-  #takenMs = -Infinity;
+  #isRunning = false;
+  #acquiredMs = -Infinity;
 
   constructor(
     private readonly context: GatewayContext,
@@ -19,12 +22,12 @@
     private readonly keeper: HoldingKeeper,
   ) {}
 
-  /** Notes that this instance holds the duties from now on. */
-  begin(): void {
-    this.#takenMs = this.context.clock();
+  /** Records that this instance has acquired the duties. */
+  onAcquired(): void {
+    this.#acquiredMs = this.context.clock();
   }
 
-  /** @returns the notes with what is decided now */
+  /** @returns the notes, with the usage of a window added if it can be decided now */
   decide(notes: DutyNotes): DutyNotes {
     const { duties, context } = this;
     const { windowMs, lateMs } = duties.settings;
@@ -32,7 +35,7 @@
       nowUnixMs: duties.fleetClock.nowMs,
       windowMs,
       lateMs,
-      heldForMs: context.clock() - this.#takenMs,
+      heldForMs: context.clock() - this.#acquiredMs,
       live: context.membership.instances,
       collector: duties.collector,
     });
@@ -50,10 +53,10 @@
   }
 
   /**
-   * Reports the oldest window that was decided and written down.
+   * Reports the oldest window whose usage is decided and known to be in the store.
    *
-   * @param notes - as they are now
-   * @returns what the report makes of the notes
+   * @param notes - the current notes
+   * @returns a function that records the report in the notes; null if none was accepted
    */
   async step(
     notes: DutyNotes,
@@ -61,16 +64,16 @@
     const usage = this.keeper.confirmed.decided.find(
       ({ window }) => window > (notes.reportedThrough ?? -1),
     );
-    if (!usage || this.#isAtWork) {
+    if (!usage || this.#isRunning) {
       return null;
     }
-    this.#isAtWork = true;
+    this.#isRunning = true;
     try {
       const answer = await this.calls.run('usage', caller =>
         this.platform.reportUsage(caller, usage),
       );
       if (answer === 'refused') {
-        // The platform has seen a higher token.
+        // The platform has seen a higher token, so another instance holds the duties.
         this.keeper.drop();
       }
       if (answer !== 'accepted') {
@@ -79,7 +82,7 @@
       this.context.log.write('usageReported', { window: usage.window });
       return before => withReported(before, usage.window);
     } finally {
-      this.#isAtWork = false;
+      this.#isRunning = false;
     }
   }
 }
--- a/packages/gateway/src/duties/createHoldingStore.ts
+++ b/packages/gateway/src/duties/createHoldingStore.ts
@@ -2,19 +2,19 @@
 
 import type { HoldingStore } from '../ports/DutyPorts.js';
 
-/** A row of a store that is written under a condition. */
+/** A row of a store that supports compare-and-set by version. */
 export interface ConditionalRow {
-  /** The content is null, and the version 0, where the row doesn't exist. */
+  /** Reads the row; if it doesn't exist, the content is null and the version 0. */
   readonly read: () => Promise<{
     readonly content: unknown;
     readonly version: number;
     readonly storeMs: number;
   }>;
   /**
-   * Writes the row if it has a certain version.
+   * Writes the row if it has the expected version.
    *
-   * @returns null where it had another one
-   * @throws Error where it isn't known whether the row is written
+   * @returns the new version; null if the row had another version
+   * @throws Error if it is unknown whether the row was written
    */
   readonly writeIf: (
     content: unknown,
@@ -22,7 +22,7 @@
   ) => Promise<{ readonly version: number; readonly storeMs: number } | null>;
 }
 
-/** @returns the holding as it is kept in a row */
+/** @returns a store that keeps the holding of the duties in a row */
 export function createHoldingStore(row: ConditionalRow): HoldingStore {
   return {
     read: async () => {
--- a/packages/gateway/src/state/FleetView.ts
+++ b/packages/gateway/src/state/FleetView.ts
@@ -3,11 +3,13 @@
 
 import type { GatewayContext } from '../GatewayContext.js';
 
-/** Told when the view has changed in a way that others should know at once. */
-export type NewsListener = () => void;
+/** Called when the view has changed in a way that peers must learn of immediately. */
+export type UrgentChangeListener = () => void;
 
-/** Changes that others must act on; the rest spreads with the heartbeats. */
-const URGENT: readonly ReplicaChange['kind'][] = [
+/**
+ * Changes that are announced to peers immediately; others travel with the heartbeats.
+ */
+const URGENT_CHANGES: readonly ReplicaChange['kind'][] = [
   'gone',
   'leaving',
   'added',
@@ -15,35 +17,37 @@
 ];
 
 /**
- * What this instance knows of configuration and replicas, whoever told it.
+ * Applies configurations and replica changes to this instance, whatever their source.
  *
- * The store and other instances both lead here, so that every change is put in
- * force, logged and passed on in one place.
+ * Updates from the store and from peers both pass through here, so that each change is
+ * applied, logged and announced in one place.
  */
 export class FleetView {
-  readonly #listeners: NewsListener[] = [];
+  readonly #listeners: UrgentChangeListener[] = [];
 
   /**
-   * @param context - of the instance
-   * @param onLimits - told when a configuration changes what callers may send
+   * @param context - context of the instance
+   * @param onLimits - called with the caller limits of each new configuration
    */
   constructor(
     private readonly context: GatewayContext,
     private readonly onLimits: (limits: CallerLimits) => void,
   ) {}
 
-  onNews(listener: NewsListener): void {
+  /** Registers a listener for changes that peers must learn of immediately. */
+  onUrgentChange(listener: UrgentChangeListener): void {
     this.#listeners.push(listener);
   }
 
   /**
-   * Takes in a configuration.
+   * Applies a configuration and records when it was known to be the newest.
    *
-   * @param cfg - null where none was new
-   * @param asOfMs - when it was known to be the newest, on the store's clock
-   * @param source - who told it
+   * @param cfg - the configuration; null if the known one was confirmed instead
+   * @param asOfMs - time on the store's clock at which it was the newest, in
+   *   milliseconds
+   * @param source - where it came from, for the log: `store` or the id of a peer
    */
-  onConfiguration(
+  applyConfiguration(
     cfg: RoutingConfiguration | null,
     asOfMs: number,
     source: string,
@@ -58,7 +62,7 @@
         routes: cfg.routes.length,
         source,
       });
-      this.#tell();
+      this.#notifyListeners();
     }
     const { board } = router;
     const isNewest = !cfg || cfg.version === board.table?.cfg.version;
@@ -67,7 +71,12 @@
     }
   }
 
-  /** Puts changed replicas in force. */
+  /**
+   * Updates routing and connections after replicas changed in the registry.
+   *
+   * @param changes - changes that the registry has already applied
+   * @param source - where they came from, for the log
+   */
   onReplicas(changes: readonly ReplicaChange[], source: string): void {
     if (changes.length === 0) {
       return;
@@ -85,12 +94,12 @@
         source,
       });
     });
-    if (changes.some(({ kind }) => URGENT.includes(kind))) {
-      this.#tell();
+    if (changes.some(({ kind }) => URGENT_CHANGES.includes(kind))) {
+      this.#notifyListeners();
     }
   }
 
-  #tell(): void {
+  #notifyListeners(): void {
     this.#listeners.forEach(listener => {
       listener();
     });
--- a/packages/gateway/src/state/PeerLoop.ts
+++ b/packages/gateway/src/state/PeerLoop.ts
@@ -18,47 +18,59 @@
 import type { PeerLink } from '../ports/PeerLink.js';
 import type { CancelTimer } from '../ports/Timers.js';
 import type { FleetView } from './FleetView.js';
-import type { CatchUp, DatagramPurpose, KnownVersions } from './PeerState.js';
-import { PeerState, TELLING } from './PeerState.js';
+import type {
+  CatchUpMethod,
+  DatagramPurpose,
+  KnownVersions,
+} from './PeerState.js';
+import { PeerState, ANNOUNCEMENT } from './PeerState.js';
 
-/** Time between rounds of questions. */
+/** Interval between probe rounds, in milliseconds. */
 export const PEER_PERIOD_MS = 250;
 /**
- * Time that an answer may take. Other instances are a few milliseconds away, but one
- * with a tenth of a core is busy for some hundred at a time after a change.
+ * Time allowed for the answer to a probe, in milliseconds. The network takes only a few
+ * of them, but an instance with a tenth of a core can be busy for some hundred
+ * milliseconds after a change.
  */
-const ANSWER_MS = 400;
+const ANSWER_TIMEOUT_MS = 400;
 /**
- * Questions in a row without a sign of life until a peer is suspected. Where a
- * hundredth of all datagrams gets lost, 195 instances that ask four times a second
- * suspect a sound one every three minutes.
+ * Consecutive probes without any sign of life after which a peer is suspected. With 1 %
+ * datagram loss and four probes a second from each, a fleet of 195 instances suspects a
+ * healthy peer about once in three minutes.
  */
 const MISSES_TO_SUSPECT = 3;
 /**
- * Peers that get urgent news at once; they pass it on. Four steps reach two hundred
- * instances; those that are missed learn it with the next rounds.
+ * Number of peers to which an urgent change is sent; each of them forwards it. Four
+ * hops reach two hundred instances; any that are missed learn of it in the next probe
+ * rounds.
  */
 const URGENT_FANOUT = 4;
-/** News that come within this time are told together. */
-const URGENT_PAUSE_MS = 40;
-/** Rounds between tries of seeds that are not known as members. */
-const SEED_EVERY_ROUNDS = 4;
+/** Urgent changes within this time are announced together, in milliseconds. */
+const URGENT_BATCH_MS = 40;
+/** Number of rounds between probes of seeds that are not known as members. */
+const SEED_PROBE_INTERVAL_ROUNDS = 4;
 
-function kindOf({ question, answerTo }: DatagramPurpose): string {
+/** @returns the value of the `kind` label under which a datagram is counted */
+function metricKindOf({ question, answerTo }: DatagramPurpose): string {
   if (question !== 0) {
     return 'question';
   }
   return answerTo === 0 ? 'news' : 'answer';
 }
 
-/** Keeps instances in touch: membership, configuration, replicas and use. */
+/**
+ * Exchanges state with peers: membership, configuration, replicas and load.
+ *
+ * Datagrams carry probes, their answers and announcements; whatever doesn't fit into
+ * one is pulled in a separate request.
+ */
 export class PeerLoop {
   readonly #state: PeerState;
   readonly #probes: PeerProbes;
-  readonly #watch = new MemberStateWatch();
-  #pulling = false;
-  #endRounds: CancelTimer | null = null;
-  #endNews: CancelTimer | null = null;
+  readonly #memberStates = new MemberStateWatch();
+  #isPulling = false;
+  #cancelRounds: CancelTimer | null = null;
+  #cancelPendingSpread: CancelTimer | null = null;
   #round = 0;
 
   constructor(
@@ -69,8 +81,8 @@
     this.#state = new PeerState(
       context,
       view,
-      (address, how) => {
-        this.#catchUp(address, how);
+      (address, method) => {
+        this.#catchUp(address, method);
       },
       () => {
         this.spread();
@@ -78,82 +90,87 @@
     );
     this.#probes = new PeerProbes(context.membership, context.clock, {
       periodMs: PEER_PERIOD_MS,
-      answerMs: ANSWER_MS,
+      answerMs: ANSWER_TIMEOUT_MS,
       missesToSuspect: MISSES_TO_SUSPECT,
     });
-    view.onNews(() => {
+    view.onUrgentChange(() => {
       this.spread();
     });
   }
 
-  /** Listens for other instances and starts to ask them. */
+  /** Starts to listen for peers and to probe them. */
   async start(): Promise<void> {
     await this.link.listen({
       onDatagram: (bytes, from) => {
         this.#onDatagram(bytes, from);
       },
-      onPull: theirs => {
-        const reply = this.#state.tellAll(theirs);
-        this.#state.take(theirs, null);
+      onPull: request => {
+        const reply = this.#state.buildPullReply(request);
+        this.#state.receive(request, null);
         return reply;
       },
       onSendFault: (to, err) => {
-        this.#noteFault(to, err);
+        this.#logError(to, err);
       },
     });
-    this.#endRounds = this.context.timers.every(PEER_PERIOD_MS, () => {
-      this.#beat();
+    this.#cancelRounds = this.context.timers.every(PEER_PERIOD_MS, () => {
+      this.#runRound();
     });
-    this.#beat();
+    this.#runRound();
   }
 
+  /** Stops the rounds and closes the link. */
   async stop(): Promise<void> {
-    this.#endRounds?.();
-    this.#endNews?.();
+    this.#cancelRounds?.();
+    this.#cancelPendingSpread?.();
     await this.link.close();
   }
 
   /**
-   * Tells some members soon; each passes on what is new to it.
+   * Schedules an announcement to some members; each forwards what is new to it.
    *
-   * News often comes in bursts, as when many entries lapse together. What comes
-   * while a telling is due goes with it: told one by one, a hundred changes in
-   * sixty instances would take seconds of every processor.
+   * Changes often come in bursts, for example when many entries lapse together. Those
+   * that arrive before the announcement is sent are included in it: sent one by one, a
+   * hundred changes among sixty instances would cost seconds of CPU time on each of
+   * them.
    */
   spread(): void {
-    this.#endNews ??= this.context.timers.after(URGENT_PAUSE_MS, () => {
-      // What is learnt from now on may miss this telling.
-      this.#endNews = null;
-      this.#someMembers().forEach(({ peerAddress }) => {
-        this.#send(peerAddress, TELLING, null);
-      });
-    });
+    this.#cancelPendingSpread ??= this.context.timers.after(
+      URGENT_BATCH_MS,
+      () => {
+        // Reset first: later changes may no longer be part of this announcement.
+        this.#cancelPendingSpread = null;
+        this.#randomMembers().forEach(({ peerAddress }) => {
+          this.#send(peerAddress, ANNOUNCEMENT, null);
+        });
+      },
+    );
   }
 
   /**
-   * Tells one member what this instance counted for the duties.
+   * Sends this instance's usage counts to one member.
    *
-   * @param id - of the member; nothing is sent where it is not known
+   * @param id - id of the member; nothing is sent if it isn't known as serving
    */
-  tellUsage(id: InstanceId): void {
+  sendUsage(id: InstanceId): void {
     const member = this.context.membership.serving.find(
       other => other.id === id,
     );
     if (member) {
       this.context.metrics.peerMessages.inc({ kind: 'usage' });
-      const state = this.#state.tellUsage();
+      const state = this.#state.buildUsageDatagram();
       this.link.send(GatewayState.encode(state).finish(), member.peerAddress);
     }
   }
 
-  /** Asks some members for what they know, for a process that stood still. */
+  /** Probes some members for their state, for a process that was suspended. */
   askAround(): void {
-    this.#someMembers().forEach(member => {
-      this.#ask(member.peerAddress, member);
+    this.#randomMembers().forEach(member => {
+      this.#sendProbe(member.peerAddress, member);
     });
   }
 
-  #someMembers(): readonly Member[] {
+  #randomMembers(): readonly Member[] {
     const { membership, router } = this.context;
     return rotated(membership.serving, router.board.random).slice(
       0,
@@ -161,30 +178,30 @@
     );
   }
 
-  #beat(): void {
+  #runRound(): void {
     const { membership, router, metrics } = this.context;
     this.#round += 1;
     membership.announce(
       isReady(this.context) ? ownAddress(this.context) : '',
       membership.self.peerAddress,
     );
-    const again = this.#probes.beginRound();
+    const overdue = this.#probes.beginRound();
     membership.tick();
-    [...again, ...membership.targets()].forEach(member => {
-      this.#ask(member.peerAddress, member);
+    [...overdue, ...membership.targets()].forEach(member => {
+      this.#sendProbe(member.peerAddress, member);
     });
-    this.#trySeeds();
+    this.#probeSeeds();
     if (this.#isReaderDue()) {
-      this.askReader();
+      this.probeReader();
     }
     router.onInstances(membership.instances);
     metrics.members.set(membership.instances.length);
-    this.#noteStates();
+    this.#logMemberChanges();
   }
 
-  /** Meets instances that no member has told of, as at the very start. */
-  #trySeeds(): void {
-    if (this.#round % SEED_EVERY_ROUNDS !== 1) {
+  /** Probes seeds that aren't known as members, as during startup. */
+  #probeSeeds(): void {
+    if (this.#round % SEED_PROBE_INTERVAL_ROUNDS !== 1) {
       return;
     }
     const { membership, settings } = this.context;
@@ -194,11 +211,14 @@
     settings.seeds
       .filter(seed => !known.has(seed) && seed !== membership.self.peerAddress)
       .forEach(seed => {
-        this.#ask(seed, null);
+        this.#sendProbe(seed, null);
       });
   }
 
-  /** Whether to ask a reader of the store, before this instance has to read itself. */
+  /**
+   * Whether to get the view from a store reader, before this instance has to read
+   * itself.
+   */
   #isReaderDue(): boolean {
     const { membership, router, settings } = this.context;
     const ageMs = viewAgeMs(router.board);
@@ -210,13 +230,13 @@
   }
 
   /**
-   * Asks an instance that reads the store for what it knows.
+   * Probes one of the instances that read the store for its view.
    *
-   * All others ask the same two. Answered with all that they run and have heard, one
-   * of two hundred instances sent 325 KB a second (virtual time, sixty backend servers),
-   * which is a good part of a small link.
+   * Only the view is requested, since all other instances probe the same two readers.
+   * With load data in the answers, a reader among two hundred instances sent 325 KB/s
+   * (in virtual time, with sixty backend servers), a large part of a slow link.
    */
-  askReader(): void {
+  probeReader(): void {
     const { membership, router } = this.context;
     const readers = readersOf(membership.instances);
     const known = membership.serving.filter(({ id }) => readers.includes(id));
@@ -224,24 +244,28 @@
       ({ peerAddress }) => !this.#probes.awaits(peerAddress),
     );
     if (reader) {
-      this.#ask(reader.peerAddress, reader, true);
+      this.#sendProbe(reader.peerAddress, reader, true);
     }
   }
 
-  #ask(address: string, member: Member | null, viewOnly = false): void {
+  #sendProbe(address: string, member: Member | null, viewOnly = false): void {
     const question = this.#probes.ask(address, member);
-    // Changes are news, and told as such; whoever missed them asks back. Sent with
-    // each question they would be two thirds of its bytes.
-    this.#send(address, { question, answerTo: 0, viewOnly }, this.#state.known);
+    // Probes carry no changes: these would make up two thirds of the bytes. Changes are
+    // announced instead, and a peer that missed one requests it.
+    this.#send(
+      address,
+      { question, answerTo: 0, viewOnly },
+      this.#state.knownVersions,
+    );
   }
 
   #send(
     address: string,
     purpose: DatagramPurpose,
-    theirs: KnownVersions | null,
+    known: KnownVersions | null,
   ): void {
-    this.context.metrics.peerMessages.inc({ kind: kindOf(purpose) });
-    const state = this.#state.tell(purpose, theirs);
+    this.context.metrics.peerMessages.inc({ kind: metricKindOf(purpose) });
+    const state = this.#state.buildDatagram(purpose, known);
     this.link.send(GatewayState.encode(state).finish(), address);
   }
 
@@ -263,22 +287,22 @@
         },
       );
     }
-    this.#state.take(state, askedMs);
+    this.#state.receive(state, askedMs);
   }
 
   #decode(bytes: Uint8Array, from: string): GatewayState | null {
     try {
       return GatewayState.decode(bytes);
     } catch (err) {
-      this.#noteFault(from, err);
+      this.#logError(from, err);
       return null;
     }
   }
 
-  #catchUp(address: string, how: CatchUp): void {
-    if (how === 'ask') {
+  #catchUp(address: string, method: CatchUpMethod): void {
+    if (method === 'probe') {
       if (!this.#probes.awaits(address)) {
-        this.#ask(address, null);
+        this.#sendProbe(address, null);
       }
       return;
     }
@@ -286,41 +310,41 @@
   }
 
   /**
-   * Pulls all that is lacking from a peer that is ahead.
+   * Pulls everything that this instance lacks from a peer that is ahead.
    *
-   * One at a time: after a change everybody who tells of it is ahead, and the
-   * same configuration would come several times.
+   * Only one pull runs at a time: after a change every peer that announces it is ahead,
+   * and the same configuration would be transferred several times.
    */
   async #pull(address: string): Promise<void> {
-    if (this.#pulling) {
+    if (this.#isPulling) {
       return;
     }
-    this.#pulling = true;
+    this.#isPulling = true;
     this.context.metrics.peerMessages.inc({ kind: 'pull' });
     try {
-      const state = this.#state.tell(TELLING, null);
+      const state = this.#state.buildDatagram(ANNOUNCEMENT, null);
       const askedMs = this.context.clock();
-      const told = await this.link.pull(address, state);
-      this.#state.take(told, askedMs);
+      const reply = await this.link.pull(address, state);
+      this.#state.receive(reply, askedMs);
     } catch (err) {
-      // Whoever tells next of the change is asked next.
+      // The next peer that announces the change triggers another pull.
       this.context.log.write('pullFailed', {
         peer: address,
         error: err instanceof Error ? err.message : String(err),
       });
     } finally {
-      this.#pulling = false;
+      this.#isPulling = false;
     }
   }
 
-  #noteFault(address: string, err: unknown): void {
+  #logError(address: string, err: unknown): void {
     const error = err instanceof Error ? err.message : String(err);
     this.context.log.write('unexpectedError', { peer: address, error });
   }
 
-  #noteStates(): void {
+  #logMemberChanges(): void {
     const { membership, log } = this.context;
-    this.#watch.look(membership.members).forEach(change => {
+    this.#memberStates.look(membership.members).forEach(change => {
       log.write('memberChanged', { ...change });
     });
   }
--- a/packages/gateway/src/state/PeerSocket.ts
+++ b/packages/gateway/src/state/PeerSocket.ts
@@ -3,34 +3,36 @@
 
 import type { ListenAddress } from '../GatewaySettings.js';
 
-/** Told of a datagram and of the address that it came from. */
+/** Called with a received datagram and the address of its sender. */
 export type DatagramListener = (bytes: Uint8Array, from: string) => void;
 
-/** Told of a datagram that could not be sent. */
-export type SendFaultListener = (to: string, err: Error) => void;
+/**
+ * Called when a datagram could not be sent; `to` is empty if the address is unknown.
+ */
+export type SendErrorListener = (to: string, err: Error) => void;
 
-const IP_VERSION = 4;
+const IPV4_FAMILY = 4;
 
 /**
  * Sends and receives datagrams between instances.
  *
- * Rounds of heartbeats go to members drawn at random. With a connection for each
- * of them, one of thirty idle instances spent half of its processor time (profile
- * of 14 s) on opening connections and on calls, and memory grew with every member met.
+ * Heartbeats go to randomly chosen members. With a connection to each of them, one of
+ * thirty idle instances spent half of its CPU time (profile of 14 s) on opening
+ * connections and on calls, and its memory grew with each member that it contacted.
  */
 export class PeerSocket {
   readonly #socket: Socket;
-  #closed = false;
+  #isClosed = false;
 
   constructor(
     onDatagram: DatagramListener,
-    private readonly onSendFault: SendFaultListener,
+    private readonly onSendError: SendErrorListener,
   ) {
     this.#socket = createSocket({
       type: 'udp4',
-      // Addresses are numbers; nothing has to be looked up.
+      // Hosts are IP addresses, which need no DNS lookup.
       lookup: (host, _options, callback) => {
-        callback(null, host, IP_VERSION);
+        callback(null, host, IPV4_FAMILY);
       },
     });
     this.#socket.on('message', (bytes, { address, port }) => {
@@ -39,10 +41,10 @@
   }
 
   /**
-   * Starts to receive.
+   * Binds the socket and starts to receive.
    *
-   * @param address - host and port
-   * @throws Error when the port is taken
+   * @param address - host and port to listen at
+   * @throws Error if the port is taken
    */
   async listen({ host, port }: ListenAddress): Promise<void> {
     await new Promise<void>((resolve, reject) => {
@@ -53,32 +55,32 @@
       });
     });
     this.#socket.on('error', err => {
-      this.onSendFault('', err);
+      this.onSendError('', err);
     });
   }
 
   /**
-   * Sends a datagram; it may get lost.
+   * Sends a datagram, which may get lost; does nothing once the socket is closed.
    *
-   * @param bytes - content
-   * @param to - host and port
+   * @param bytes - payload
+   * @param to - host and port of the recipient, as `host:port`
    */
   send(bytes: Uint8Array, to: string): void {
-    if (this.#closed) {
+    if (this.#isClosed) {
       return;
     }
     const [host = '', port = ''] = to.split(':');
     this.#socket.send(bytes, Number(port), host, err => {
       if (err) {
-        this.onSendFault(to, err);
+        this.onSendError(to, err);
       }
     });
   }
 
-  /** Closes the socket; nothing is sent any more. */
+  /** Closes the socket; further calls of `send` and `close` have no effect. */
   close(): void {
-    if (!this.#closed) {
-      this.#closed = true;
+    if (!this.#isClosed) {
+      this.#isClosed = true;
       this.#socket.close();
     }
   }
--- a/packages/gateway/src/state/PeerState.ts
+++ b/packages/gateway/src/state/PeerState.ts
@@ -17,83 +17,95 @@
   toWholeFields,
 } from './configurationMessage.js';
 import { fromCrashFields, toCrashFields } from './crashMessage.js';
-import { takeDutyFields, toDutyFields } from './dutyMessage.js';
+import { applyDutyFields, toDutyFields } from './dutyMessage.js';
 import type { FleetView } from './FleetView.js';
 import {
   fromLimits,
-  fromMoment,
+  fromStoreTime,
   fromReplicaFields,
-  fromWork,
+  toPeerWork,
   toDemands,
   toLimits,
-  toMoment,
+  toStoreTime,
   toReplicaFields,
   toReports,
   toUses,
 } from './gatewayState.js';
 
 /**
- * Changes of replicas that a datagram carries, at most. Some 90 bytes each, so that
- * a datagram stays far below what the network takes.
+ * Maximum number of replica changes in one datagram. Each takes some 90 bytes, so that
+ * a datagram stays far below the maximum size.
  */
-const MAX_CHANGES = 24;
-/** The same for changes of the configuration; one of a route has some 400 characters. */
-const MAX_CONFIGURATION_CHARS = 4096;
-/** The same for an answer to a pull. Compressed, a whole one is hardly ever less. */
-const MAX_PULLED_CHARS = 16_384;
-/** Age up to which changes of the configuration are news, in milliseconds. */
-const NEWS_MS = 1000;
+const MAX_REPLICA_CHANGES = 24;
+/**
+ * Maximum length of the configuration changes in one datagram, in characters. The
+ * change of one route takes some 400.
+ */
+const MAX_DATAGRAM_CONFIGURATION_CHARS = 4096;
+/**
+ * Maximum length of the configuration changes in the reply to a pull, in characters.
+ * Above it the whole configuration is sent; compressed, that is rarely shorter than
+ * this.
+ */
+const MAX_PULLED_CONFIGURATION_CHARS = 16_384;
+/** Age up to which configuration changes are announced, in milliseconds. */
+const RECENT_CHANGE_MS = 1000;
 
-/** How an instance catches up with one that knows more. */
-export type CatchUp = 'ask' | 'pull';
+/**
+ * How an instance gets changes that it lacks: from the answer to a probe, or by a pull.
+ */
+export type CatchUpMethod = 'probe' | 'pull';
 
-/** What a datagram is about beside the state. */
+/** What a datagram is sent for. */
 export interface DatagramPurpose {
-  /** Number of the question that is asked; 0 for none. */
+  /** Number of the probe that the datagram is; 0 if it requests no answer. */
   readonly question: number;
-  /** Number of the question that is answered; 0 for none. */
+  /** Number of the probe that the datagram answers; 0 if it is no answer. */
   readonly answerTo: number;
-  /** Whether it is about the view alone, and not about what the instances run. */
+  /**
+   * Whether the datagram, and the answer to it, leave out the load of the instances.
+   */
   readonly viewOnly: boolean;
 }
 
-type WorkFields = Pick<proto.GatewayState, 'demands' | 'reports' | 'uses'>;
+type LoadFields = Pick<proto.GatewayState, 'demands' | 'reports' | 'uses'>;
 
-/** Fields of a message that is about the view alone. */
-const NO_WORK: WorkFields = { demands: [], reports: [], uses: [] };
+/** Load fields of a message that carries the view only. */
+const NO_LOAD_FIELDS: LoadFields = { demands: [], reports: [], uses: [] };
 
-/** Versions that an instance knows. */
+/** Versions up to which an instance's view is complete. */
 export interface KnownVersions {
-  /** Of the store, that its view of replicas is complete for. */
+  /** Store version up to which the replicas are known; 0 before the first read. */
   readonly replicas: number;
+  /** Version of the configuration; 0 before the first. */
   readonly configuration: number;
 }
 
-/** A datagram that tells, without a question or an answer. */
-export const TELLING: DatagramPurpose = {
+/** A datagram that neither is a probe nor answers one. */
+export const ANNOUNCEMENT: DatagramPurpose = {
   question: 0,
   answerTo: 0,
   viewOnly: false,
 };
 
-/** What one instance says to others, and takes in of what they say. */
+/** Builds the messages to peers, and applies those that they send. */
 export class PeerState {
   /**
-   * @param context - of the instance
-   * @param view - takes in configuration and replicas
-   * @param onAhead - told of a peer that knows more than it said, and how to
-   *   catch up with it
-   * @param onNews - told of news that others should hear soon
+   * @param context - context of the instance
+   * @param view - applies configuration and replica changes
+   * @param onAhead - called with the address of a peer that has changes which its
+   *   message doesn't contain, and with the way to get them
+   * @param onUrgentChange - called when other peers should learn of a change soon
    */
   constructor(
     private readonly context: GatewayContext,
     private readonly view: FleetView,
-    private readonly onAhead: (address: string, how: CatchUp) => void,
-    private readonly onNews: () => void,
+    private readonly onAhead: (address: string, method: CatchUpMethod) => void,
+    private readonly onUrgentChange: () => void,
   ) {}
 
-  /** What this instance knows. */
-  get known(): KnownVersions {
+  /** Versions that this instance knows. */
+  get knownVersions(): KnownVersions {
     const { replicas, table } = this.context.router.board;
     return {
       replicas: replicas.version,
@@ -102,63 +114,76 @@
   }
 
   /**
-   * What this instance says in a datagram.
+   * Builds a datagram, with as many changes as fit.
    *
-   * @param purpose - question, answer or neither
-   * @param theirs - what the other knows; null where that isn't known, and the newest
-   *   changes are told
+   * @param purpose - probe, answer or announcement
+   * @param known - versions that the recipient knows, after which changes are included;
+   *   null if they are unknown, to include the newest changes
    */
-  tell(
+  buildDatagram(
     purpose: DatagramPurpose,
-    theirs: KnownVersions | null,
+    known: KnownVersions | null,
   ): proto.GatewayState {
     const { replicas, configurations } = this.context.router.board;
-    return this.#state(
+    return this.#buildMessage(
       purpose,
-      theirs
-        ? replicas.changesWithin(theirs.replicas, MAX_CHANGES)
-        : replicas.newestChanges(MAX_CHANGES),
+      known
+        ? replicas.changesWithin(known.replicas, MAX_REPLICA_CHANGES)
+        : replicas.newestChanges(MAX_REPLICA_CHANGES),
       toChangesFields(
-        theirs
-          ? configurations.since(theirs.configuration)
-          : configurations.newest(NEWS_MS),
-        MAX_CONFIGURATION_CHARS,
+        known
+          ? configurations.since(known.configuration)
+          : configurations.newest(RECENT_CHANGE_MS),
+        MAX_DATAGRAM_CONFIGURATION_CHARS,
       ),
     );
   }
 
-  /** Tells what this instance counted, and little else. */
-  tellUsage(): proto.GatewayState {
+  /**
+   * Builds a datagram with usage counts, and without load, replicas or configuration.
+   */
+  buildUsageDatagram(): proto.GatewayState {
     const { board } = this.context.router;
     return {
-      ...this.tell({ ...TELLING, viewOnly: true }, this.known),
+      ...this.buildDatagram(
+        { ...ANNOUNCEMENT, viewOnly: true },
+        this.knownVersions,
+      ),
       ...toDutyFields(board.duties, true),
     };
   }
 
-  /** All that another instance lacks, which may be too much for a datagram. */
-  tellAll(theirs: proto.GatewayState): proto.GatewayState {
+  /**
+   * Builds the reply to a pull, which may be too large for a datagram.
+   *
+   * @param request - state of the instance that pulls
+   * @returns a state with everything that the instance lacks
+   */
+  buildPullReply(request: proto.GatewayState): proto.GatewayState {
     const { replicas } = this.context.router.board;
-    return this.#state(
-      TELLING,
-      replicas.changesSince(theirs.replicasVersion),
-      this.#allOfConfiguration(theirs.configurationVersion),
+    return this.#buildMessage(
+      ANNOUNCEMENT,
+      replicas.changesSince(request.replicasVersion),
+      this.#missingConfiguration(request.configurationVersion),
     );
   }
 
-  #allOfConfiguration(theirVersion: number): ConfigurationFields {
+  /**
+   * @returns the changes after a version; the whole configuration if they are too many
+   */
+  #missingConfiguration(knownVersion: number): ConfigurationFields {
     const { table, configurations } = this.context.router.board;
-    if (!table || table.cfg.version <= theirVersion) {
+    if (!table || table.cfg.version <= knownVersion) {
       return NO_CONFIGURATION;
     }
     const changes = toChangesFields(
-      configurations.since(theirVersion),
-      MAX_PULLED_CHARS,
+      configurations.since(knownVersion),
+      MAX_PULLED_CONFIGURATION_CHARS,
     );
     return changes === NO_CONFIGURATION ? toWholeFields(table.cfg) : changes;
   }
 
-  #state(
+  #buildMessage(
     purpose: DatagramPurpose,
     changes: ReplicaChanges,
     configuration: ConfigurationFields,
@@ -173,9 +198,9 @@
     return {
       heartbeat: toHeartbeatMessage(heartbeat),
       configurationVersion: version,
-      storeMs: toMoment(board.storeClock.latestMs),
-      configurationAsOfMs: toMoment(board.configurationAsOfMs),
-      ...(purpose.viewOnly ? NO_WORK : this.#work),
+      storeMs: toStoreTime(board.storeClock.latestMs),
+      configurationAsOfMs: toStoreTime(board.configurationAsOfMs),
+      ...(purpose.viewOnly ? NO_LOAD_FIELDS : this.#loadFields),
       ...configuration,
       ...toReplicaFields(changes),
       replicasChangedAt: board.replicas.changedAt,
@@ -186,8 +211,8 @@
     };
   }
 
-  /** What this instance runs and has heard. */
-  get #work(): WorkFields {
+  /** Load of this instance, and the load reports that it has from backend servers. */
+  get #loadFields(): LoadFields {
     const { router } = this.context;
     const { demand, lengths } = router.board;
     return {
@@ -198,13 +223,13 @@
   }
 
   /**
-   * Takes in what another instance says, and asks for what it didn't send.
+   * Applies a message of a peer, and requests changes that the message left out.
    *
-   * @param state - of the other
-   * @param askedMs - local time at which this instance asked for it; null where it
-   *   didn't, and nobody knows how long it was on its way
+   * @param state - the message
+   * @param askedMs - local time at which the message was requested, in milliseconds;
+   *   null if it wasn't, so that its time in transit is unknown
    */
-  take(state: proto.GatewayState, askedMs: number | null): void {
+  receive(state: proto.GatewayState, askedMs: number | null): void {
     const { heartbeat } = state;
     if (!heartbeat) {
       return;
@@ -213,42 +238,43 @@
     membership.onMessage(fromHeartbeatMessage(heartbeat));
     const peer = brand<InstanceId>(heartbeat.instance);
     if (!state.viewOnly) {
-      router.onPeerWork(peer, fromWork(state));
+      router.onPeerWork(peer, toPeerWork(state));
     }
     router.board.crashes.onPeer(fromCrashFields(state));
     takeLimits(router.board, fromLimits(state.limits));
-    this.#takeDuties(state, peer);
-    this.#takeMoments(state, askedMs);
-    this.#takeConfiguration(state, peer);
-    this.#takeReplicas(state, peer);
-    this.context.lease.look();
+    this.#receiveDuties(state, peer);
+    this.#receiveStoreTimes(state, askedMs);
+    this.#receiveConfiguration(state, peer);
+    this.#receiveReplicas(state, peer);
+    this.context.lease.onViewUpdated();
   }
 
-  #takeDuties(state: proto.GatewayState, instance: InstanceId): void {
+  #receiveDuties(state: proto.GatewayState, instance: InstanceId): void {
     const { duties } = this.context.router.board;
     if (!duties) {
       return;
     }
-    const isNews = takeDutyFields(duties, state, {
+    const hasChanged = applyDutyFields(duties, state, {
       instance,
       incarnation: state.heartbeat?.incarnation ?? 0,
-      storeMs: fromMoment(state.storeMs),
+      storeMs: fromStoreTime(state.storeMs),
     });
-    if (isNews) {
-      this.onNews();
+    if (hasChanged) {
+      this.onUrgentChange();
     }
   }
 
   /**
-   * Takes in what the other knows of the store's clock, and how current its view is.
+   * Applies the peer's reading of the store's clock and the age of its view.
    *
-   * A view from a moment that lies ahead, by what this instance knows of that clock,
-   * shows that it knows wrongly: it stood still without noticing.
+   * If the peer's view is from a time that the store's clock cannot have reached yet by
+   * this instance's reading, that reading is wrong, since this process was suspended
+   * without noticing; the reading is discarded.
    */
-  #takeMoments(state: proto.GatewayState, askedMs: number | null): void {
+  #receiveStoreTimes(state: proto.GatewayState, askedMs: number | null): void {
     const { board } = this.context.router;
     const { storeClock } = board;
-    const asOfMs = fromMoment(
+    const asOfMs = fromStoreTime(
       Math.min(state.configurationAsOfMs, state.replicasAsOfMs),
     );
     if (storeClock.isAhead(asOfMs)) {
@@ -260,50 +286,54 @@
     board.othersAsOfMs = Math.max(board.othersAsOfMs, asOfMs);
   }
 
-  #takeConfiguration(state: proto.GatewayState, peer: InstanceId): void {
+  #receiveConfiguration(state: proto.GatewayState, peer: InstanceId): void {
     const { board } = this.context.router;
     const known = board.table?.cfg ?? null;
-    const asOfMs = fromMoment(state.configurationAsOfMs);
-    const told = fromConfigurationFields(state, known);
-    if (told?.version === state.configurationVersion) {
-      this.view.onConfiguration(told, asOfMs, peer);
+    const asOfMs = fromStoreTime(state.configurationAsOfMs);
+    const cfg = fromConfigurationFields(state, known);
+    if (cfg?.version === state.configurationVersion) {
+      this.view.applyConfiguration(cfg, asOfMs, peer);
       return;
     }
     const version = known?.version ?? 0;
     if (state.configurationVersion === version) {
-      this.view.onConfiguration(null, asOfMs, peer);
+      this.view.applyConfiguration(null, asOfMs, peer);
     }
     if (state.configurationVersion > version) {
-      // An answer holds the changes, if a datagram can.
-      const isAnswer = state.answerTo !== 0 || !known;
-      this.#catchUp(state, isAnswer ? 'pull' : 'ask');
+      // An answer contains all changes that fit into a datagram; pull if it isn't
+      // enough.
+      const needsPull = state.answerTo !== 0 || !known;
+      this.#catchUp(state, needsPull ? 'pull' : 'probe');
     }
   }
 
-  #takeReplicas(state: proto.GatewayState, peer: InstanceId): void {
+  #receiveReplicas(state: proto.GatewayState, peer: InstanceId): void {
     const { replicas } = this.context.router.board;
     const known = replicas.version;
     if (state.replicasVersion < known) {
       return;
     }
     if (known > 0 && known >= state.replicasChangedAt) {
-      // Nothing has changed since; only the view is known to be younger.
-      replicas.confirm(state.replicasVersion, fromMoment(state.replicasAsOfMs));
+      // Nothing has changed since, so the known replicas are as current as the peer's.
+      replicas.confirm(
+        state.replicasVersion,
+        fromStoreTime(state.replicasAsOfMs),
+      );
       return;
     }
-    const told = fromReplicaFields(state);
-    if (replicas.connects(told)) {
-      this.view.onReplicas(replicas.merge(told), peer);
+    const changes = fromReplicaFields(state);
+    if (replicas.connects(changes)) {
+      this.view.onReplicas(replicas.merge(changes), peer);
       return;
     }
-    // An answer holds what was lacking, if a datagram can.
-    this.#catchUp(state, state.answerTo === 0 ? 'ask' : 'pull');
+    // An answer contains all changes that fit into a datagram; pull if it isn't enough.
+    this.#catchUp(state, state.answerTo === 0 ? 'probe' : 'pull');
   }
 
-  #catchUp({ heartbeat }: proto.GatewayState, how: CatchUp): void {
+  #catchUp({ heartbeat }: proto.GatewayState, method: CatchUpMethod): void {
     const address = heartbeat?.peerAddress ?? '';
     if (address !== '') {
-      this.onAhead(address, how);
+      this.onAhead(address, method);
     }
   }
 }
--- a/packages/gateway/src/state/StoreReader.ts
+++ b/packages/gateway/src/state/StoreReader.ts
@@ -10,43 +10,60 @@
 import type { FleetView } from './FleetView.js';
 
 /**
- * Longest wait of one call for a new configuration. A connection that fell
- * silent costs at most this, and the view must not be older than two seconds.
+ * Maximum duration of one watch for a new configuration, in milliseconds. It bounds the
+ * time lost to a silent connection, as the view must not be older than two seconds.
  */
-const WATCH_MS = 900;
+const WATCH_TIMEOUT_MS = 900;
 /**
- * Time between reads of the replicas, whose entries change several times a second,
- * as a share of the time in which a change must be in force.
+ * Interval between reads of the replicas, as a share of the time within which a change
+ * must take effect. They are polled, since their entries change several times a second.
  */
-const REPLICAS_EVERY_SHARE = 0.275;
-/** The longest such time; what leaves must be known while callers wait for it. */
-const MAX_REPLICAS_EVERY_MS = 1100;
-/** Bounds on the time until the next look whether this instance has to read. */
+const REPLICA_READ_INTERVAL_SHARE = 0.275;
+/** Maximum interval, so that leaving replicas are known in time, in milliseconds. */
+const MAX_REPLICA_READ_INTERVAL_MS = 1100;
+/** Bounds on the interval between checks whether a read is due, in milliseconds. */
 const MIN_IDLE_MS = 50;
 const MAX_IDLE_MS = 500;
-/** Pause after a failed call; grows with the rank, so that few press a store that is away. */
-const FAILED_PAUSE_MS = 250;
-const RANK_PAUSE_MS = 50;
-const MAX_FAILED_PAUSE_MS = 1000;
-/** Failures for this long count as an outage, if nobody else could read either. */
-const OUTAGE_MS = 800;
-/** Time in which live replicas are back after an outage; the platform says about two seconds. */
-const LAPSE_MS = 2500;
+/**
+ * Delay after a failed call, in milliseconds. It grows with the instance's rank, to
+ * limit the load on a store that is unavailable.
+ */
+const RETRY_DELAY_MS = 250;
+const RETRY_DELAY_PER_RANK_MS = 50;
+const MAX_RETRY_DELAY_MS = 1000;
+/**
+ * Time of consecutive failures that counts as an outage of the store, in milliseconds,
+ * if no other instance could read either.
+ */
+const MIN_OUTAGE_MS = 800;
+/**
+ * Time for live replicas to renew their entries after an outage, in milliseconds. The
+ * platform states about two seconds.
+ */
+const RECOVERY_MS = 2500;
 
 /**
- * Time until the next look. A view only ages, so nothing is due before; somebody
- * who reads may be gone meanwhile, which is noticed at the next look.
+ * Delay until the next check whether a read is due. It is bounded, since a read is due
+ * earlier if instances that rank before this one fail meanwhile.
+ *
+ * @param dueInMs - time until the read is due, in milliseconds
+ * @returns milliseconds
  */
-function pauseUntil(dueInMs: number): number {
+function idleDelayMs(dueInMs: number): number {
   return Math.min(MAX_IDLE_MS, Math.max(MIN_IDLE_MS, dueInMs));
 }
 
 type StoreCall = 'configuration' | 'replicas';
 
-/** Reads configuration and replicas from the store, when it is this instance's turn. */
+/**
+ * Reads configuration and replicas from the store.
+ *
+ * Only the readers, the instances that rank first, read regularly. The others get the
+ * view from them, and read themselves only if it gets too old.
+ */
 export class StoreReader {
-  #stopped = false;
-  #watchAfter: number | null = null;
+  #isStopped = false;
+  #watchedVersion: number | null = null;
   #failingSinceMs: number | null = null;
 
   constructor(
@@ -55,34 +72,36 @@
     private readonly view: FleetView,
   ) {}
 
+  /** Starts the loops that read configuration and replicas. */
   start(): void {
     void this.#loop(() => this.#stepConfiguration());
     void this.#loop(() => this.#stepReplicas());
   }
 
+  /** Ends both loops after the calls in progress. */
   stop(): void {
-    this.#stopped = true;
+    this.#isStopped = true;
   }
 
   /**
-   * Reads both at once, whoever's turn it is.
+   * Reads configuration and replicas immediately, whether or not a read is due.
    *
-   * @returns whether the store answered
+   * @returns whether both calls succeeded
    */
   async refresh(): Promise<boolean> {
     const done = await Promise.all([
-      this.#call('configuration', () => this.#readConfiguration(0)),
-      this.#call('replicas', () => this.#readReplicas()),
+      this.#tryCall('configuration', () => this.#readConfiguration(0)),
+      this.#tryCall('replicas', () => this.#readReplicas()),
     ]);
     return done.every(Boolean);
   }
 
   async #loop(step: () => Promise<number>): Promise<void> {
     const { timers } = this.context;
-    while (!this.#stopped) {
+    while (!this.#isStopped) {
       const pauseMs = await step();
       await timers.sleep(pauseMs);
-      // News of peers may wait to be read; then the store need not be asked.
+      // Handle received datagrams first: they may make a read unnecessary.
       await timers.nextTurn();
     }
   }
@@ -92,68 +111,74 @@
     return rankOf(membership.self.instance, membership.instances);
   }
 
-  /** Time until a view of this age is to be read anew; 0 where that is due. */
+  /**
+   * Time until a view of this age has to be read again, in milliseconds; 0 if it is
+   * due.
+   */
   #dueInMs(ageMs: number): number {
     const { freshWithinMs } = this.context.settings;
     return Math.max(0, readAtAgeMs(this.#rank, freshWithinMs) - ageMs);
   }
 
-  get #replicasEveryMs(): number {
+  get #replicaReadIntervalMs(): number {
     const { freshWithinMs } = this.context.settings;
     return Math.min(
-      MAX_REPLICAS_EVERY_MS,
-      REPLICAS_EVERY_SHARE * freshWithinMs,
+      MAX_REPLICA_READ_INTERVAL_MS,
+      REPLICA_READ_INTERVAL_SHARE * freshWithinMs,
     );
   }
 
-  get #failedPauseMs(): number {
-    const pauseMs = FAILED_PAUSE_MS + this.#rank * RANK_PAUSE_MS;
-    return Math.min(MAX_FAILED_PAUSE_MS, pauseMs);
+  get #retryDelayMs(): number {
+    const pauseMs = RETRY_DELAY_MS + this.#rank * RETRY_DELAY_PER_RANK_MS;
+    return Math.min(MAX_RETRY_DELAY_MS, pauseMs);
   }
 
   async #stepConfiguration(): Promise<number> {
     const { board } = this.context.router;
     const ageMs = board.storeClock.ageOf(board.configurationAsOfMs);
-    // Also before the first configuration is written, or all of a fleet that waits
-    // for it would ask for it all the time.
+    // This holds before the first configuration is written, too: else all instances of
+    // a fleet that waits for it would keep calling the store.
     const dueInMs = this.#dueInMs(ageMs);
     if (dueInMs > 0) {
-      return pauseUntil(dueInMs);
+      return idleDelayMs(dueInMs);
     }
-    const done = await this.#call('configuration', () =>
+    const done = await this.#tryCall('configuration', () =>
       this.#readConfiguration(),
     );
-    return done ? 0 : this.#failedPauseMs;
+    return done ? 0 : this.#retryDelayMs;
   }
 
   async #stepReplicas(): Promise<number> {
     const { replicas } = this.context.router.board;
     const dueInMs = replicas.version > 0 ? this.#dueInMs(replicas.ageMs) : 0;
     if (dueInMs > 0) {
-      return pauseUntil(dueInMs);
+      return idleDelayMs(dueInMs);
     }
-    const done = await this.#call('replicas', () => this.#readReplicas());
-    return done ? this.#replicasEveryMs : this.#failedPauseMs;
+    const done = await this.#tryCall('replicas', () => this.#readReplicas());
+    return done ? this.#replicaReadIntervalMs : this.#retryDelayMs;
   }
 
-  async #readConfiguration(waitMs = WATCH_MS): Promise<void> {
+  async #readConfiguration(waitMs = WATCH_TIMEOUT_MS): Promise<void> {
     const askedMs = this.context.clock();
-    const read = await this.#newConfiguration(waitMs);
-    this.#watchAfter = read.version;
-    this.#readClock(read.storeMs, askedMs);
-    this.view.onConfiguration(read.configuration, read.storeMs, 'store');
+    const read = await this.#fetchConfiguration(waitMs);
+    this.#watchedVersion = read.version;
+    this.#updateStoreClock(read.storeMs, askedMs);
+    this.view.applyConfiguration(read.configuration, read.storeMs, 'store');
   }
 
-  /** Waits for a change where the history allows it, else reads the whole. */
-  async #newConfiguration(waitMs: number): Promise<ConfigurationRead> {
-    if (this.#watchAfter === null) {
+  /** Waits for a change, or reads the whole if the store no longer has the history. */
+  async #fetchConfiguration(waitMs: number): Promise<ConfigurationRead> {
+    if (this.#watchedVersion === null) {
       return this.store.readConfiguration();
     }
-    const read = await this.store.watchConfiguration(this.#watchAfter, waitMs);
+    const read = await this.store.watchConfiguration(
+      this.#watchedVersion,
+      waitMs,
+    );
     return read === HISTORY_GONE ? this.store.readConfiguration() : read;
   }
 
-  #readClock(storeMs: number, askedMs: number): void {
+  #updateStoreClock(storeMs: number, askedMs: number): void {
     this.context.router.board.storeClock.read(storeMs, askedMs);
   }
 
@@ -166,33 +191,34 @@
         : HISTORY_GONE;
     if (changed !== HISTORY_GONE) {
       const { rows, version, storeMs } = changed;
-      this.#readClock(storeMs, askedMs);
-      this.#noteAnswer();
+      this.#updateStoreClock(storeMs, askedMs);
+      this.#onAnswered();
       this.view.onReplicas(replicas.applyRows(rows, version, storeMs), 'store');
       return;
     }
     const { rows, version, storeMs } = await this.store.readReplicas();
-    this.#readClock(storeMs, askedMs);
-    this.#noteAnswer();
+    this.#updateStoreClock(storeMs, askedMs);
+    this.#onAnswered();
     const changes = replicas.applySnapshot(rows, version, storeMs);
     this.view.onReplicas(changes, 'store');
   }
 
-  async #call(call: StoreCall, run: () => Promise<void>): Promise<boolean> {
+  async #tryCall(call: StoreCall, run: () => Promise<void>): Promise<boolean> {
     const { metrics } = this.context;
     try {
       await run();
-      this.#noteAnswer();
+      this.#onAnswered();
       metrics.storeCalls.inc({ call, result: 'ok' });
       return true;
     } catch (err) {
       metrics.storeCalls.inc({ call, result: 'failed' });
-      this.#noteFailure(call, err);
+      this.#onFailed(call, err);
       return false;
     }
   }
 
-  #noteAnswer(): void {
+  /** Ends a run of failures, and tolerates expired entries if it was an outage. */
+  #onAnswered(): void {
     const { clock, log, router } = this.context;
     if (this.#failingSinceMs === null) {
       return;
@@ -200,15 +226,16 @@
     const { replicas } = router.board;
     const awayMs = clock() - this.#failingSinceMs;
     this.#failingSinceMs = null;
-    // Calls fail at a single instance for its own full link, too. Where another one
-    // read meanwhile, entries of live replicas had no reason to run out.
-    if (awayMs >= OUTAGE_MS && replicas.ageMs >= awayMs) {
-      replicas.expectLapses(LAPSE_MS);
+    // Calls may also have failed because of this instance's own congested link. If
+    // other instances read the store meanwhile, entries of live replicas have not
+    // expired.
+    if (awayMs >= MIN_OUTAGE_MS && replicas.ageMs >= awayMs) {
+      replicas.expectLapses(RECOVERY_MS);
     }
     log.write('platformBack', { awayMs: Math.round(awayMs) });
   }
 
-  #noteFailure(call: StoreCall, err: unknown): void {
+  #onFailed(call: StoreCall, err: unknown): void {
     const { clock, log } = this.context;
     if (this.#failingSinceMs !== null) {
       return;
--- a/packages/gateway/src/state/ViewLease.ts
+++ b/packages/gateway/src/state/ViewLease.ts
@@ -3,39 +3,41 @@
 
 import type { Timers } from '../ports/Timers.js';
 
-/** Longest time for which requests are held until the view is current. */
-const RENEWAL_MS = 250;
+/** Maximum time for which requests wait for a renewal, in milliseconds. */
+const RENEWAL_TIMEOUT_MS = 250;
 
 /**
- * What a view that is too old may be renewed by.
+ * Renews a view that is too old.
  *
- * @returns whether the store answered; never rejects
+ * @returns whether the store answered; the promise never rejects
  */
 export type RenewView = () => Promise<boolean>;
 
-/** Whether requests may be placed by the view. */
-export type LeaseState = 'behind' | 'usable';
+/** Whether requests may be placed; `behind` if another instance has a newer view. */
+export type ViewLeaseState = 'behind' | 'usable';
 
 /**
- * The right to place requests by what this instance knows.
+ * Permission to place requests according to this instance's view.
  *
- * It ends by itself when the view was last known to be current too long ago, as a
- * lease does. Guards against requests to a replica that said long ago that it leaves:
- * an instance that is short of processor, or whose reads fail, would go on by an old
- * view without bound. While nobody can know more, as when the store is away, requests
- * go on; where another instance does, they are turned away, as that one serves them.
+ * Like a lease, it expires unless the view is confirmed to be current. This guards
+ * against requests to replicas that announced long ago that they leave: without it, an
+ * instance that lacks CPU time, or whose reads fail, would use an outdated view
+ * indefinitely. If no instance is known to have a current view, for example while the
+ * store is unavailable, requests are still placed. If another instance has one, they
+ * are refused, since that instance can serve them.
  */
 export class ViewLease {
   #renewal: Promise<void> | null = null;
   #renewView: RenewView = () => Promise.resolve(false);
   #onCurrent: () => void = () => undefined;
-  /** Whether the last renewal left the view as old as it was. */
-  #inVain = false;
+  /** Whether the view was still outdated after the last renewal. */
+  #lastRenewalFailed = false;
 
   /**
-   * @param board - holds the view
-   * @param timers - of the instance
-   * @param boundMs - tells the time in which a change must be in force
+   * @param board - the view
+   * @param timers - timers of the instance
+   * @param boundMs - returns the time within which a change must take effect, in
+   *   milliseconds
    */
   constructor(
     private readonly board: GatewayBoard,
@@ -43,36 +45,40 @@
     private readonly boundMs: () => number,
   ) {}
 
-  /** Sets what renews the view. */
-  renewBy(renewView: RenewView): void {
+  /** Sets the function that renews the view. */
+  setRenewal(renewView: RenewView): void {
     this.#renewView = renewView;
   }
 
   /**
-   * Waits until it is known whether requests may be placed.
+   * Determines whether requests may be placed, after a renewal if the lease has
+   * expired.
    *
-   * Only the first requests after the end of the lease wait, and for a short time.
+   * If a renewal fails, later calls return without waiting until the view is current
+   * again.
    */
-  async obtain(): Promise<LeaseState> {
+  async obtain(): Promise<ViewLeaseState> {
     if (this.#state === 'current') {
-      this.#inVain = false;
+      this.#lastRenewalFailed = false;
       return 'usable';
     }
-    if (!this.#inVain) {
+    if (!this.#lastRenewalFailed) {
       this.#renewal ??= this.#renew();
       await this.#renewal;
     }
     return this.#state === 'behind' ? 'behind' : 'usable';
   }
 
-  /** Whether requests may be placed by the view as it is, without waiting. */
+  /** Whether requests may be placed now, without waiting for a renewal. */
   get isUsable(): boolean {
     const state = this.#state;
-    return state === 'current' || (state === 'unknown' && this.#inVain);
+    return (
+      state === 'current' || (state === 'unknown' && this.#lastRenewalFailed)
+    );
   }
 
-  /** Called when the view may have become current. */
-  look(): void {
+  /** Ends the wait for a renewal if the view has become current. */
+  onViewUpdated(): void {
     if (this.#renewal && this.#state === 'current') {
       this.#onCurrent();
     }
@@ -89,11 +95,11 @@
     await Promise.race([
       this.#renewView(),
       isCurrent,
-      this.timers.sleep(RENEWAL_MS),
+      this.timers.sleep(RENEWAL_TIMEOUT_MS),
     ]);
-    // An answer may wait to be read, behind the timer.
+    // An answer that has already arrived is read only after the timers of this turn.
     await this.timers.nextTurn();
-    this.#inVain = this.#state !== 'current';
+    this.#lastRenewalFailed = this.#state !== 'current';
     this.#renewal = null;
   }
 }
--- a/packages/gateway/src/state/configurationMessage.ts
+++ b/packages/gateway/src/state/configurationMessage.ts
@@ -4,34 +4,34 @@
 import type { proto } from '@jujubecroft/operator/peers';
 import type { RoutingConfiguration } from '@jujubecroft/types';
 
-/** How a message tells of a configuration. */
+/** Fields of a message that carry a configuration or its changes. */
 export type ConfigurationFields = Pick<
   proto.GatewayState,
   'configurationChanges' | 'configurationWhole'
 >;
 
-/** Fields of a message that leaves the configuration out. */
+/** Fields of a message without configuration. */
 export const NO_CONFIGURATION: ConfigurationFields = {
   configurationChanges: '',
   configurationWhole: new Uint8Array(0),
 };
 
-/** Instances tell the same to many others. */
-const jsonOf = new WeakMap<ConfigurationChanges, string>();
-const wholeOf = new WeakMap<RoutingConfiguration, Uint8Array>();
+/** Encoded forms, cached since the same ones are sent to many instances. */
+const changesJsonCache = new WeakMap<ConfigurationChanges, string>();
+const compressedCache = new WeakMap<RoutingConfiguration, Uint8Array>();
 
 function toJson(changes: ConfigurationChanges): string {
-  const json = jsonOf.get(changes) ?? JSON.stringify(changes);
-  jsonOf.set(changes, json);
+  const json = changesJsonCache.get(changes) ?? JSON.stringify(changes);
+  changesJsonCache.set(changes, json);
   return json;
 }
 
 /**
- * Tells changes, if they are little.
+ * Encodes configuration changes, unless they are too long.
  *
- * @param changes - oldest first; null where they are not known
- * @param maxChars - most that the message should grow by
- * @returns the fields, or those that leave the configuration out
+ * @param changes - changes, oldest first; null if they are unknown
+ * @param maxChars - maximum length of the encoded changes, in characters
+ * @returns the fields; `NO_CONFIGURATION` if there are no changes or they are too long
  */
 export function toChangesFields(
   changes: readonly ConfigurationChanges[] | null,
@@ -44,12 +44,12 @@
 }
 
 /**
- * Tells a whole configuration, compressed.
+ * Encodes a whole configuration, compressed.
  *
- * With 1,450 routes it is 360 KB of JSON, 0.3 s on a link of 10 Mbit/s for each
- * instance that lacks it; compressed it is a tenth of that.
+ * With 1,450 routes it is 360 KB of JSON, which takes 0.3 s on a link of 10 Mbit/s for
+ * each instance that lacks it; compression reduces it to a tenth.
  *
- * @param cfg - null where none is known
+ * @param cfg - the configuration; null if none is known
  * @returns the fields
  */
 export function toWholeFields(
@@ -58,17 +58,19 @@
   if (!cfg) {
     return NO_CONFIGURATION;
   }
-  const whole = wholeOf.get(cfg) ?? gzipSync(JSON.stringify(cfg), { level: 1 });
-  wholeOf.set(cfg, whole);
+  const whole =
+    compressedCache.get(cfg) ?? gzipSync(JSON.stringify(cfg), { level: 1 });
+  compressedCache.set(cfg, whole);
   return { ...NO_CONFIGURATION, configurationWhole: whole };
 }
 
 /**
- * Reads the configuration that a message leads to.
+ * Decodes the configuration of a message, or applies its changes to the known one.
  *
- * @param fields - of the message
- * @param known - the configuration that is known; null before the first
- * @returns null where the message tells none, or changes of another one
+ * @param fields - fields of the message
+ * @param known - the known configuration; null before the first
+ * @returns the new configuration; null if the message has none, or has changes that
+ *   don't apply to the known one
  */
 export function fromConfigurationFields(
   { configurationChanges, configurationWhole }: ConfigurationFields,
@@ -81,6 +83,6 @@
   if (configurationChanges === '' || !known) {
     return null;
   }
-  const told = JSON.parse(configurationChanges) as ConfigurationChanges[];
-  return followChanges(known, told);
+  const changes = JSON.parse(configurationChanges) as ConfigurationChanges[];
+  return followChanges(known, changes);
 }
--- a/packages/gateway/src/state/crashMessage.ts
+++ b/packages/gateway/src/state/crashMessage.ts
@@ -3,19 +3,25 @@
 import type { BackendServerId, RequestFingerprint } from '@jujubecroft/types';
 import { brand } from '@jujubecroft/types';
 
-/** The part of a message that is about crashes. */
+/** Fields of a message that report crashes of backend servers. */
 export type CrashFields = Pick<proto.GatewayState, 'cleared' | 'crashes'>;
 
 const FINGERPRINT_BYTES = 8;
-/** Told where the start of a run is not known. */
+/** Stands on the wire for an unknown start time of a backend server. */
 const UNKNOWN_START = 0;
 
-function toBytes(contents: readonly RequestFingerprint[]): Buffer {
-  return Buffer.concat(contents.map(content => Buffer.from(content, 'hex')));
+function encodeFingerprints(
+  fingerprints: readonly RequestFingerprint[],
+): Buffer {
+  return Buffer.concat(
+    fingerprints.map(fingerprint => Buffer.from(fingerprint, 'hex')),
+  );
 }
 
-/** A rest at the end, which only damaged bytes have, is left out. */
-function fromBytes(bytes: Uint8Array): readonly RequestFingerprint[] {
+/**
+ * Decodes fingerprints; an incomplete one at the end, as in damaged data, is ignored.
+ */
+function decodeFingerprints(bytes: Uint8Array): readonly RequestFingerprint[] {
   const whole = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
   const count = Math.floor(whole.length / FINGERPRINT_BYTES);
   return Array.from({ length: count }, (_, index) => {
@@ -25,7 +31,7 @@
   });
 }
 
-/** @returns the fields of a message that tell of crashes */
+/** @returns the message fields for crashes */
 export function toCrashFields({ crashes, cleared }: CrashNews): CrashFields {
   return {
     crashes: crashes.map(({ id, bornMs, ageMs, goesOn, suspects }) => ({
@@ -33,13 +39,13 @@
       bornMs: bornMs ?? UNKNOWN_START,
       ageMs: Math.round(ageMs),
       goesOn,
-      suspects: toBytes(suspects),
+      suspects: encodeFingerprints(suspects),
     })),
-    cleared: toBytes(cleared),
+    cleared: encodeFingerprints(cleared),
   };
 }
 
-/** @returns what a message tells of crashes */
+/** @returns the crashes that a message reports */
 export function fromCrashFields({ crashes, cleared }: CrashFields): CrashNews {
   return {
     crashes: crashes.map(
@@ -48,9 +54,9 @@
         bornMs: bornMs === UNKNOWN_START ? null : bornMs,
         ageMs,
         goesOn,
-        suspects: fromBytes(suspects),
+        suspects: decodeFingerprints(suspects),
       }),
     ),
-    cleared: fromBytes(cleared),
+    cleared: decodeFingerprints(cleared),
   };
 }
--- a/packages/gateway/src/state/createPeerLink.ts
+++ b/packages/gateway/src/state/createPeerLink.ts
@@ -7,11 +7,11 @@
 import { pullState } from './pullState.js';
 
 /**
- * Creates the link to other instances: datagrams, and a server for what is too much
- * for them.
+ * Creates the link to other instances: a datagram socket, and an HTTP server for state
+ * that is too large for a datagram.
  *
- * @param address - where this instance listens for both
- * @returns the link, not listening yet
+ * @param address - address at which this instance listens for both
+ * @returns the link, not yet listening
  */
 export function createPeerLink(address: ListenAddress): PeerLink {
   let server: FastifyInstance | null = null;
--- a/packages/gateway/src/state/createPeerServer.ts
+++ b/packages/gateway/src/state/createPeerServer.ts
@@ -4,16 +4,16 @@
 
 import { createApp } from '../createApp.js';
 
-/** Path of the request for all that an instance lacks. */
+/** Path of pull requests, by which an instance gets everything that it lacks. */
 export const PULL_PATH = '/state';
-/** Type of bodies in the schema's encoding. */
+/** Content type of requests and replies, which are encoded protobuf messages. */
 export const PULL_TYPE = 'application/x-protobuf';
 
 /**
- * Creates the server that hands out what doesn't fit a datagram.
+ * Creates the server for pull requests, which transfer state too large for a datagram.
  *
- * @param answer - answers the state of an instance with what that one lacks
- * @returns the server, not listening yet
+ * @param answer - returns everything that the instance with the given state lacks
+ * @returns the server, not yet listening
  */
 export function createPeerServer(
   answer: (state: proto.GatewayState) => proto.GatewayState,
--- a/packages/gateway/src/state/createSync.ts
+++ b/packages/gateway/src/state/createSync.ts
@@ -7,25 +7,26 @@
 import { PeerLoop } from './PeerLoop.js';
 import { StoreReader } from './StoreReader.js';
 
-/** What keeps the view of an instance current. */
+/** The parts that keep the view of an instance current. */
 export interface ViewSync {
   readonly view: FleetView;
   readonly reader: StoreReader;
   readonly peers: PeerLoop;
 }
 
-/** What the view is kept current by. */
+/** Where the view of an instance comes from. */
 export interface ViewSources {
   readonly store: DiscoveryStore;
   readonly link: PeerLink;
 }
 
 /**
- * Creates what keeps the view of an instance current, not started yet.
+ * Creates and connects the parts that keep the view of an instance current.
  *
- * @param context - of the instance
- * @param sources - the store and the other instances
- * @param onLimits - told when a configuration changes what callers may send
+ * @param context - context of the instance
+ * @param sources - the store and the link to other instances
+ * @param onLimits - called with the caller limits of each new configuration
+ * @returns the parts, not yet started
  */
 export function createSync(
   context: GatewayContext,
@@ -41,8 +42,8 @@
       peers.spread();
     });
   });
-  context.lease.renewBy(() => {
-    peers.askReader();
+  context.lease.setRenewal(() => {
+    peers.probeReader();
     return reader.refresh();
   });
   return { view, reader, peers };
--- a/packages/gateway/src/state/dutyMessage.ts
+++ b/packages/gateway/src/state/dutyMessage.ts
@@ -4,7 +4,7 @@
 import type { InstanceId, OrganisationId } from '@jujubecroft/types';
 import { brand } from '@jujubecroft/types';
 
-/** The part of a message that is about the duties that one instance does for all. */
+/** Fields of a message about the duties, which one instance performs for the fleet. */
 export type DutyFields = Pick<
   proto.GatewayState,
   'holding' | 'unixMs' | 'usage' | 'usageAsOfMs'
@@ -37,14 +37,15 @@
 }
 
 /**
- * Tells of the duties.
+ * Encodes what this instance knows of the duties.
  *
- * @param board - null where there are none
- * @param tellsUsage - whether the message tells what this instance counted
+ * @param board - state of the duties; null if the deployment has none
+ * @param withUsage - whether to include this instance's usage counts
+ * @returns the fields
  */
 export function toDutyFields(
   board: DutyBoard | null,
-  tellsUsage: boolean,
+  withUsage: boolean,
 ): DutyFields {
   if (!board) {
     return NO_DUTIES;
@@ -53,7 +54,7 @@
     ...NO_DUTIES,
     holding: board.news ?? undefined,
     unixMs: board.fleetClock.timeOfDay(),
-    ...(tellsUsage ? toUsageFields(board) : {}),
+    ...(withUsage ? toUsageFields(board) : {}),
   };
 }
 
@@ -68,23 +69,25 @@
   );
 }
 
-/** Who sent a message, and when by the store's clock. */
+/** The sender of a message. */
 export interface DutySender {
   readonly instance: InstanceId;
   readonly incarnation: number;
-  /** Minus infinity where the sender doesn't know. */
+  /**
+   * The sender's reading of the store's clock, in milliseconds; -Infinity if unknown.
+   */
   readonly storeMs: number;
 }
 
 /**
- * Takes in what a message tells of the duties.
+ * Applies what a message contains about the duties.
  *
- * @param board - of this instance
- * @param fields - of the message
- * @param sender - of the message
- * @returns whether another instance holds the duties now
+ * @param board - state of the duties at this instance
+ * @param fields - fields of the message
+ * @param sender - sender of the message
+ * @returns whether another instance holds the duties now, or they were released
  */
-export function takeDutyFields(
+export function applyDutyFields(
   board: DutyBoard,
   { holding, unixMs, usage, usageAsOfMs }: DutyFields,
   { instance, incarnation, storeMs }: DutySender,
--- a/packages/gateway/src/state/gatewayState.ts
+++ b/packages/gateway/src/state/gatewayState.ts
@@ -18,16 +18,16 @@
 } from '@jujubecroft/types';
 import { brand } from '@jujubecroft/types';
 
-/** Told to others while an entry stands. */
-const STANDS = -1;
-/** Told in place of a moment that isn't known, or was never. */
-const NO_MOMENT = -1;
-/** Told where a replica names no limit any more. */
+/** Stands on the wire for the removal time of an entry that exists. */
+const NOT_GONE = -1;
+/** Stands on the wire for a time that is unknown or never came. */
+const UNKNOWN_TIME = -1;
+/** Stands on the wire for a replica that no longer states a limit. */
 const NO_LIMIT = -1;
-/** Told where the start of a run is not known. */
+/** Stands on the wire for an unknown start time of a replica. */
 const UNKNOWN_START = 0;
-/** A removed entry; its other fields mean nothing. */
-const REMOVED = {
+/** Fields of a removed entry; only `exists` has a meaning. */
+const REMOVED_ENTRY = {
   exists: false,
   service: '',
   address: '',
@@ -38,29 +38,29 @@
   spot: false,
 } as const;
 
-function startOf({ bornMs }: { readonly bornMs: number }): number | null {
+function runStartOf({ bornMs }: { readonly bornMs: number }): number | null {
   return bornMs === UNKNOWN_START ? null : bornMs;
 }
 
-/** Turns a replica record into its message. */
+/** Converts a replica record to its message. */
 function toEntry(record: ReplicaRecord): proto.ReplicaEntry {
   const { id, replica, rowVersion, changedAt, bornMs, goneAtMs } = record;
   const content = replica
     ? { ...replica, exists: true, spot: replica.spot ?? false }
-    : REMOVED;
+    : REMOVED_ENTRY;
   return {
     ...content,
     id,
     entryVersion: rowVersion,
     changedAt,
     bornMs: bornMs ?? UNKNOWN_START,
-    goneAtMs: goneAtMs ?? STANDS,
+    goneAtMs: goneAtMs ?? NOT_GONE,
   };
 }
 
 function fromEntry(entry: proto.ReplicaEntry): ReplicaRecord {
   const id = brand<BackendServerId>(entry.id);
-  const bornMs = startOf(entry);
+  const bornMs = runStartOf(entry);
   const replica: Replica = {
     id,
     service: brand<ServiceId>(entry.service),
@@ -83,9 +83,9 @@
 }
 
 /**
- * Turns changes of replicas into the fields of a message.
+ * Converts replica changes to message fields.
  *
- * @param changes - what the other side lacks
+ * @param changes - changes that the recipient lacks
  * @returns the fields
  */
 export function toReplicaFields(
@@ -100,7 +100,7 @@
 > {
   return {
     replicasVersion: changes.version,
-    replicasAsOfMs: toMoment(changes.asOfMs),
+    replicasAsOfMs: toStoreTime(changes.asOfMs),
     replicasComplete: changes.complete,
     replicasFrom: changes.from,
     replicas: changes.records.map(toEntry),
@@ -108,7 +108,7 @@
 }
 
 /**
- * Reads the changes of replicas out of a message.
+ * Reads the replica changes from a message.
  *
  * @param state - the message
  * @returns the changes
@@ -116,25 +116,25 @@
 export function fromReplicaFields(state: proto.GatewayState): ReplicaChanges {
   return {
     version: state.replicasVersion,
-    asOfMs: fromMoment(state.replicasAsOfMs),
+    asOfMs: fromStoreTime(state.replicasAsOfMs),
     complete: state.replicasComplete,
     from: state.replicasFrom,
     records: state.replicas.map(fromEntry),
   };
 }
 
-/** @returns the message fields of what this instance runs */
+/** @returns the message fields for the load of this instance at each backend server */
 export function toUses(uses: readonly OwnUse[]): proto.BackendUse[] {
   return uses.map(({ id, bornMs, inFlight, unreadByRank }) => ({
     backendServer: id,
     bornMs: bornMs ?? UNKNOWN_START,
     inFlight,
-    // Expected cache hits make it a fraction, which the message can't hold.
+    // Expected cache hits make these fractions, but the message holds integers.
     unreadByRank: unreadByRank.map(Math.round),
   }));
 }
 
-/** @returns the message fields of what replicas told */
+/** @returns the message fields for the loads that replicas reported */
 export function toReports(
   reports: readonly HeardReport[],
 ): proto.BackendReport[] {
@@ -146,7 +146,7 @@
   }));
 }
 
-/** @returns the message fields of the limits that replicas name */
+/** @returns the message fields for the limits that replicas state */
 export function toLimits(limits: readonly LimitReport[]): proto.BackendLimit[] {
   return limits.map(({ id, bornMs, perS, ageMs }) => ({
     backendServer: id,
@@ -156,19 +156,25 @@
   }));
 }
 
-/** @returns the limits that a message tells of */
+/** @returns the replica limits in a message */
 export function fromLimits(
   limits: readonly proto.BackendLimit[],
 ): readonly LimitReport[] {
   return limits.map(limit => ({
     id: brand<BackendServerId>(limit.backendServer),
-    bornMs: startOf(limit),
+    bornMs: runStartOf(limit),
     perS: limit.perS < 0 ? null : limit.perS,
     ageMs: limit.ageMs,
   }));
 }
 
-/** @returns the message fields of what each route brings to this instance */
+/**
+ * Converts the demand of each route at this instance to message fields.
+ *
+ * @param demands - the demands
+ * @param lengthOf - returns the answer length that was observed for a route
+ * @returns the fields
+ */
 export function toDemands(
   demands: readonly RouteDemand[],
   lengthOf: (route: RouteId) => SeenLength,
@@ -176,8 +182,8 @@
   return demands.map(demand => ({ ...demand, ...lengthOf(demand.route) }));
 }
 
-/** @returns what another instance runs and has heard */
-export function fromWork({
+/** @returns the load of another instance, and the load reports that it has */
+export function toPeerWork({
   uses,
   demands,
   reports,
@@ -185,13 +191,13 @@
   return {
     reports: reports.map(report => ({
       id: brand<BackendServerId>(report.backendServer),
-      bornMs: startOf(report),
+      bornMs: runStartOf(report),
       total: report.total,
       ageMs: report.ageMs,
     })),
     uses: uses.map(use => ({
       id: brand<BackendServerId>(use.backendServer),
-      bornMs: startOf(use),
+      bornMs: runStartOf(use),
       inFlight: use.inFlight,
       unreadByRank: use.unreadByRank,
     })),
@@ -208,12 +214,14 @@
   };
 }
 
-/** @returns the message field of a moment on the store's clock */
-export function toMoment(storeMs: number): number {
-  return Number.isFinite(storeMs) ? storeMs : NO_MOMENT;
+/** @returns the message field for a time on the store's clock, in milliseconds */
+export function toStoreTime(storeMs: number): number {
+  return Number.isFinite(storeMs) ? storeMs : UNKNOWN_TIME;
 }
 
-/** @returns the moment that a message tells; minus infinity for never */
-export function fromMoment(told: number): number {
-  return told < 0 ? -Infinity : told;
+/**
+ * @returns the time on the store's clock in a message field; -Infinity if there is none
+ */
+export function fromStoreTime(field: number): number {
+  return field < 0 ? -Infinity : field;
 }
--- a/packages/gateway/src/state/parseMemberNote.ts
+++ b/packages/gateway/src/state/parseMemberNote.ts
@@ -3,29 +3,30 @@
 import type { FailureDomainId, InstanceId } from '@jujubecroft/types';
 import { brand } from '@jujubecroft/types';
 
-const noteSchema = z.object({
+const entrySchema = z.object({
   failureDomain: z.string(),
   peerAddress: z.string(),
 });
 
 /**
- * Reads the note that an instance left in the store for others that start.
+ * Parses the entry by which an instance announces itself in the store, for instances
+ * that start later.
  *
- * @param instance - that left it
- * @param content - of the note, parsed
- * @returns null where it is none
+ * @param instance - id of the announced instance
+ * @param content - parsed JSON of the entry
+ * @returns the member; null if the entry is invalid
  */
 export function parseMemberNote(
   instance: string,
   content: unknown,
 ): ListedMember | null {
-  const note = noteSchema.safeParse(content);
-  return note.success
+  const entry = entrySchema.safeParse(content);
+  return entry.success
     ? {
         id: brand<InstanceId>(instance),
-        failureDomain: brand<FailureDomainId>(note.data.failureDomain),
+        failureDomain: brand<FailureDomainId>(entry.data.failureDomain),
         callerAddress: '',
-        peerAddress: note.data.peerAddress,
+        peerAddress: entry.data.peerAddress,
         state: 'live',
       }
     : null;
--- a/packages/gateway/src/state/peerFanout.ts
+++ b/packages/gateway/src/state/peerFanout.ts
@@ -1,20 +1,21 @@
-/** Peers up to which each instance calls several in a round. */
-const SMALL_FLEET = 12;
+/** Number of peers up to which `SMALL_FANOUT` applies. */
+const SMALL_FLEET_PEERS = 12;
 const SMALL_FANOUT = 3;
 const LARGE_FANOUT = 1;
 
 /**
- * Peers that an instance exchanges states with in one round.
+ * Determines with how many peers an instance exchanges state in one round.
  *
- * Calls are the larger part of what control costs: thirty idle instances that
- * called three others in a round spent 0.106 of a core each, with one 0.030. Small
- * fleets can afford that everybody hears of everybody within a second. Large ones
- * stay at four calls a second, however many they are; urgent news is passed on at
- * once and does not wait for a round.
+ * Exchanges are the main cost of the control traffic: thirty idle instances that
+ * contacted three peers a round used 0.106 of a core each, with one peer 0.030. In a
+ * small fleet, several peers a round are affordable, and every instance hears of every
+ * other within a second. A large fleet stays at four exchanges a second for each
+ * instance, whatever its size; urgent changes are announced immediately, without
+ * waiting for a round.
  *
- * @param peers - that are known
- * @returns peers to call
+ * @param peers - number of known peers
+ * @returns number of peers to contact
  */
 export function peerFanout(peers: number): number {
-  return peers <= SMALL_FLEET ? SMALL_FANOUT : LARGE_FANOUT;
+  return peers <= SMALL_FLEET_PEERS ? SMALL_FANOUT : LARGE_FANOUT;
 }
--- a/packages/gateway/src/state/pullState.ts
+++ b/packages/gateway/src/state/pullState.ts
@@ -4,20 +4,20 @@
 import { requestWhole } from '../backends/requestWhole.js';
 import { PULL_PATH, PULL_TYPE } from './createPeerServer.js';
 
-/** Bound on one request; other instances are a few milliseconds away. */
+/** Timeout of one request, in milliseconds; the network takes only a few of them. */
 const PULL_TIMEOUT_MS = 500;
 const OK = 200;
 
 /**
- * Asks another instance for all that this one lacks.
+ * Requests everything that this instance lacks from another one.
  *
- * Rare, as it follows a change of configuration or a time out of touch; a
- * connection of its own means that none can fall silent between two requests.
+ * Pulls are rare: they follow a configuration change or a loss of contact. Each uses a
+ * new connection, since a pooled one could become unresponsive between two requests.
  *
- * @param address - host and port of the other
- * @param state - what this instance knows
- * @returns what the other says
- * @throws Error when no whole answer came in time
+ * @param address - host and port of the other instance
+ * @param state - state of this instance
+ * @returns the reply
+ * @throws Error if no complete reply arrives in time, or its status isn't 200
  */
 export async function pullState(
   address: string,
--- a/packages/gateway/src/state/refutationMs.ts
+++ b/packages/gateway/src/state/refutationMs.ts
@@ -1,19 +1,23 @@
-/** Time that a suspected member of a small fleet has to answer, in milliseconds. */
-const SMALL_FLEET_MS = 1200;
-/** Members for which that time is enough. */
-const SMALL_FLEET = 8;
+/**
+ * Time for a suspected member of a small fleet to refute the suspicion, in
+ * milliseconds.
+ */
+const SMALL_FLEET_REFUTATION_MS = 1200;
+/** Number of members up to which that time applies. */
+const SMALL_FLEET_MEMBERS = 8;
 
 /**
- * Time that a suspected member has to refute the suspicion.
+ * Time for a suspected member to refute the suspicion before it is declared failed.
  *
- * News takes steps that grow with the logarithm of the fleet to reach the suspect
- * and to come back. With 1,200 ms at 195 instances that were held up for 0.6 s now
- * and then, live ones were given up 67 times in 8 s (virtual time), with this never.
+ * The suspicion and its refutation spread in a number of hops that grows with the
+ * logarithm of the fleet size. With 1,200 ms for 195 instances that stalled for 0.6 s
+ * from time to time, live ones were declared failed 67 times within 8 s of virtual
+ * time; with this time it never happened.
  *
- * @param members - that are known
- * @returns milliseconds; 3,000 at 195 members
+ * @param members - number of known members
+ * @returns milliseconds; about 3,000 for 195 members
  */
 export function refutationMs(members: number): number {
-  const steps = Math.log2(Math.max(SMALL_FLEET, members));
-  return (SMALL_FLEET_MS * steps) / Math.log2(SMALL_FLEET);
+  const hops = Math.log2(Math.max(SMALL_FLEET_MEMBERS, members));
+  return (SMALL_FLEET_REFUTATION_MS * hops) / Math.log2(SMALL_FLEET_MEMBERS);
 }
--- a/packages/gateway/tests/duties/DutyLoop.test.ts
+++ b/packages/gateway/tests/duties/DutyLoop.test.ts
@@ -10,13 +10,13 @@
 const SIZES = [6, 60, 195];
 
 function assertSound(t: ExecutionContext, fleet: VirtualDuties): void {
-  t.is(faultOf(fleet.platform.carriedOut, DUTIES.leaseMs), null);
+  t.is(faultOf(fleet.platform.executedCalls, DUTIES.leaseMs), null);
 }
 
 /** Windows whose report is missing or differs by more than is allowed. */
 function badWindows(fleet: VirtualDuties): readonly number[] {
   return fleet.dueWindows.filter(window => {
-    const report = fleet.platform.carriedOut.find(
+    const report = fleet.platform.executedCalls.find(
       other => other.window === window,
     );
     const counts = new Map(
@@ -25,7 +25,7 @@
         number,
       ][],
     );
-    const truth = fleet.truthOf(window);
+    const truth = fleet.actualCounts(window);
     return [...truth].some(
       ([name, count]) =>
         Math.abs((counts.get(name) ?? 0) - count) >
@@ -146,7 +146,7 @@
     const fleet = await started({ instances: 12, seed: 5 });
     const { holder } = fleet;
     await takeOverMs(fleet, frozen => {
-      frozen.process.heldUntilMs = fleet.time.nowMs + 6000;
+      frozen.process.stalledUntilMs = fleet.time.nowMs + 6000;
     });
     await fleet.time.run(25_000);
     t.not(fleet.holder, holder);
@@ -157,10 +157,10 @@
   it('go by the clock on which most instances agree', async t => {
     const fleet = await started({ instances: 12, seed: 6 });
     fleet.members.slice(0, 2).forEach(member => {
-      member.jumpMs = 3000;
+      member.clockOffsetMs = 3000;
     });
     if (fleet.holder) {
-      fleet.holder.jumpMs = -4000;
+      fleet.holder.clockOffsetMs = -4000;
     }
     await fleet.time.run(27_000);
     assertSound(t, fleet);
@@ -174,8 +174,8 @@
         instances: 12,
         seed,
         loss: 0.05,
-        lostAnswers: 0.3,
-        late: 0.5,
+        lostAnswerShare: 0.3,
+        lateShare: 0.5,
       });
       await takeOverMs(fleet, holder => {
         fleet.kill(holder);
@@ -184,7 +184,7 @@
       fleet.members
         .filter(({ stop }) => stop === null)
         .forEach(member => {
-          fleet.startAgain(member);
+          fleet.restart(member);
         });
       await takeOverMs(fleet, ({ name }) => {
         fleet.platform.cutFromStore.add(name);
@@ -192,7 +192,7 @@
       fleet.platform.cutFromStore.clear();
       await fleet.time.run(20_000);
       const said = new Map<number, Set<string>>();
-      fleet.platform.carriedOut.forEach(({ window, counts }) => {
+      fleet.platform.executedCalls.forEach(({ window, counts }) => {
         said.set(window, (said.get(window) ?? new Set()).add(counts));
       });
       t.deepEqual(
@@ -216,7 +216,7 @@
     t.true(perS < 20);
     fleet.platform.cutFromStore.clear();
     const fromMs = fleet.time.nowMs;
-    const { carriedOut } = fleet.platform;
+    const { executedCalls: carriedOut } = fleet.platform;
     const said = carriedOut.length;
     while (carriedOut.length === said && fleet.time.nowMs - fromMs < 9000) {
       await fleet.time.run(100);
@@ -251,7 +251,7 @@
     });
     await fleet.time.run(2000);
     fleet.members.forEach(member => {
-      fleet.startAgain(member);
+      fleet.restart(member);
     });
     await fleet.time.run(25_000);
     assertSound(t, fleet);
--- a/packages/gateway/tests/helpers/VirtualDuties.ts
+++ b/packages/gateway/tests/helpers/VirtualDuties.ts
@@ -6,10 +6,10 @@
 import type { GatewayContext } from '../../src/GatewayContext.js';
 import { createSync } from '../../src/state/createSync.js';
 import {
-  configurationWith,
-  replicaNamed,
-  toListed,
-  virtualContext,
+  createConfiguration,
+  createReplica,
+  createListedMember,
+  createVirtualContext,
 } from './virtualDeployment.js';
 import type { DutyConditions } from './VirtualDutyPlatform.js';
 import { VirtualDutyPlatform } from './VirtualDutyPlatform.js';
@@ -22,7 +22,7 @@
 const UNIX_MS = 1_764_000_001_700;
 const FRESH_WITHIN_MS = 3000;
 /** Mean time between two requests that begin at an instance. */
-const REQUEST_EVERY_MS = 200;
+const REQUEST_INTERVAL_MS = 200;
 const ORGANISATIONS = ['shop', 'farm', 'mill'].map(name =>
   brand<OrganisationId>(name),
 );
@@ -35,24 +35,24 @@
   ordersReplicas: false,
 };
 
-interface Member {
+interface VirtualMember {
   readonly name: string;
   readonly process: VirtualProcess;
   readonly link: VirtualLink;
   context: GatewayContext;
   stop: (() => void) | null;
-  jumpMs: number;
+  clockOffsetMs: number;
 }
 
 /** Instances with their real loops that share duties, on one virtual clock. */
 export class VirtualDuties {
   readonly time = new VirtualTime();
   readonly platform: VirtualDutyPlatform;
-  readonly members: readonly Member[];
+  readonly members: readonly VirtualMember[];
   readonly #random: () => number;
   readonly #store: VirtualStore;
   readonly #peers: VirtualPeers;
-  readonly #truth = new Map<number, Map<string, number>>();
+  readonly #actualCounts = new Map<number, Map<string, number>>();
 
   constructor(private readonly conditions: DutyConditions) {
     const { instances, seed, loss = 0 } = conditions;
@@ -62,11 +62,11 @@
       conditions,
       this.#random,
     );
-    this.#store = new VirtualStore(this.time, configurationWith(1, 1));
-    this.#store.put(replicaNamed('s-0'));
+    this.#store = new VirtualStore(this.time, createConfiguration(1, 1));
+    this.#store.put(createReplica('s-0'));
     this.#peers = new VirtualPeers(this.time, () => this.#random() < loss);
     this.members = Array.from({ length: instances }, (_, at) =>
-      this.#member(`entry-${at}`),
+      this.#createMember(`entry-${at}`),
     );
   }
 
@@ -80,61 +80,61 @@
   }
 
   /** Whoever holds the duties by the store, and is still alive. */
-  get holder(): Member | undefined {
+  get holder(): VirtualMember | undefined {
     return this.members.find(
       ({ name, stop }) => name === this.platform.holder && stop !== null,
     );
   }
 
   /** Ends a process at once. */
-  kill(member: Member): void {
+  kill(member: VirtualMember): void {
     member.stop?.();
     member.stop = null;
-    member.process.heldUntilMs = Infinity;
+    member.process.stalledUntilMs = Infinity;
   }
 
   /** Starts a process that was ended again, on the same machine. */
-  startAgain(member: Member): void {
-    member.process.heldUntilMs = 0;
-    member.context = this.#context(member);
+  restart(member: VirtualMember): void {
+    member.process.stalledUntilMs = 0;
+    member.context = this.#createContext(member);
     this.#start(member);
   }
 
   /** Asks an instance to stop, which hands the duties over first. */
-  leave({ context }: Member): void {
+  leave({ context }: VirtualMember): void {
     context.leaving = true;
     context.membership.leave();
   }
 
   /** Requests that began in a window, by organisation. */
-  truthOf(window: number): ReadonlyMap<string, number> {
-    return this.#truth.get(window) ?? new Map();
+  actualCounts(window: number): ReadonlyMap<string, number> {
+    return this.#actualCounts.get(window) ?? new Map();
   }
 
   /** Windows that ended long enough ago to be reported. */
   get dueWindows(): readonly number[] {
     const nowUnixMs = UNIX_MS + this.time.nowMs;
     const { windowMs, lateMs } = DUTIES;
-    return [...this.#truth.keys()].filter(
+    return [...this.#actualCounts.keys()].filter(
       window => nowUnixMs - (window + 1) * windowMs >= lateMs,
     );
   }
 
-  #member(name: string): Member {
-    const member: Member = {
+  #createMember(name: string): VirtualMember {
+    const member: VirtualMember = {
       name,
       process: new VirtualProcess(),
       link: new VirtualLink(this.time, Infinity),
       context: null as never,
       stop: null,
-      jumpMs: 0,
+      clockOffsetMs: 0,
     };
-    member.context = this.#context(member);
+    member.context = this.#createContext(member);
     return member;
   }
 
-  #context(member: Member): GatewayContext {
-    const context = virtualContext(
+  #createContext(member: VirtualMember): GatewayContext {
+    const context = createVirtualContext(
       member.name,
       FRESH_WITHIN_MS,
       this.time,
@@ -142,24 +142,24 @@
       {
         settings: DUTIES,
         startedMs: 1 + this.time.nowMs,
-        timeOfDay: () => UNIX_MS + this.time.nowMs + member.jumpMs,
+        timeOfDay: () => UNIX_MS + this.time.nowMs + member.clockOffsetMs,
       },
     );
     const { instances } = this.conditions;
     context.membership.onList(
       Array.from({ length: instances }, (_, at) => `entry-${at}`)
         .filter(other => other !== member.name)
-        .map(toListed),
+        .map(createListedMember),
     );
     return context;
   }
 
-  #start(member: Member): void {
+  #start(member: VirtualMember): void {
     const { context } = member;
     const { reader, peers } = createSync(
       context,
       {
-        store: this.#store.seenBy(member),
+        store: this.#store.connect(member),
         link: this.#peers.connect(member),
       },
       () => undefined,
@@ -173,7 +173,7 @@
     const loop = new DutyLoop(
       context,
       duties,
-      this.platform.portsOf(member),
+      this.platform.createPorts(member),
       peers,
     );
     loop.start();
@@ -186,26 +186,26 @@
     };
     const request = (): void => {
       if (!isOver) {
-        this.#request(context);
-        this.#after(member, 2 * REQUEST_EVERY_MS * this.#random(), request);
+        this.#countRequest(context);
+        this.#after(member, 2 * REQUEST_INTERVAL_MS * this.#random(), request);
       }
     };
     request();
   }
 
-  #request(context: GatewayContext): void {
+  #countRequest(context: GatewayContext): void {
     const { duties } = context.router.board;
     const at = Math.floor(ORGANISATIONS.length * this.#random() ** 2);
     const organisation = ORGANISATIONS[at] ?? null;
     duties?.usage.onBegan({ organisation }, duties.fleetClock.nowMs);
     const window = Math.floor((UNIX_MS + this.time.nowMs) / DUTIES.windowMs);
-    const counts = this.#truth.get(window) ?? new Map<string, number>();
-    this.#truth.set(window, counts);
+    const counts = this.#actualCounts.get(window) ?? new Map<string, number>();
+    this.#actualCounts.set(window, counts);
     const name = organisation ?? '';
     counts.set(name, (counts.get(name) ?? 0) + 1);
   }
 
-  #after({ process }: Member, ms: number, run: () => void): void {
+  #after({ process }: VirtualMember, ms: number, run: () => void): void {
     this.time.after(ms, run, process, 'read');
   }
 }
--- a/packages/gateway/tests/helpers/VirtualDutyPlatform.ts
+++ b/packages/gateway/tests/helpers/VirtualDutyPlatform.ts
@@ -10,14 +10,14 @@
 import type { VirtualProcess, VirtualTime } from './VirtualTime.js';
 
 /** What the store's clock shows when the test begins. */
-const STORE_MS = 5_000_000;
-const WAY_MS = 2;
-const WORK_MS = 5;
+const INITIAL_STORE_MS = 5_000_000;
+const ONE_WAY_MS = 2;
+const SERVICE_TIME_MS = 5;
 /** Time after which a call without an answer is given up. */
 const TIMEOUT_MS = 900;
 
 /** A call that the platform has carried out. */
-export interface CarriedOut extends DutyAct {
+export interface ExecutedCall extends DutyAct {
   readonly window: number;
   readonly counts: string;
 }
@@ -29,26 +29,26 @@
   /** Part of the datagrams that get lost. */
   readonly loss?: number;
   /** Part of the answers of store and platform that get lost. */
-  readonly lostAnswers?: number;
+  readonly lostAnswerShare?: number;
   /** Part of the calls without an answer that are carried out seconds later. */
-  readonly late?: number;
+  readonly lateShare?: number;
 }
 
 /** Who calls. */
-export interface VirtualCaller {
+export interface DutyClient {
   readonly name: string;
   readonly process: VirtualProcess;
 }
 
 /** The row of the holding and the calls of duties, on virtual time. */
 export class VirtualDutyPlatform {
-  readonly carriedOut: CarriedOut[] = [];
+  readonly executedCalls: ExecutedCall[] = [];
   /** Instances that don't reach the store, and those that don't reach the platform. */
   readonly cutFromStore = new Set<string>();
   readonly cutFromPlatform = new Set<string>();
   holdingCalls = 0;
   #row: HoldingRow = { version: 0, holding: null };
-  #seenToken = 0;
+  #highestToken = 0;
 
   /**
    * @param time - the clock of all
@@ -66,17 +66,18 @@
     return this.#row.holding?.instance;
   }
 
-  #after({ process }: VirtualCaller, ms: number, run: () => void): void {
+  #after({ process }: DutyClient, ms: number, run: () => void): void {
     this.time.after(ms, run, process, 'read');
   }
 
   /** Carries a call there, lets it be worked on, and its answer back. */
   #call<Answer>(
-    caller: VirtualCaller,
+    caller: DutyClient,
     isCut: () => boolean,
     work: () => Answer,
   ): Promise<Answer> {
-    const { lostAnswers = 0, late = 0 } = this.conditions;
+    const { lostAnswerShare: lostAnswers = 0, lateShare: late = 0 } =
+      this.conditions;
     return new Promise((resolve, reject) => {
       this.#after(caller, TIMEOUT_MS, () => {
         reject(new Error('no answer in time'));
@@ -87,10 +88,10 @@
       const isLost = this.random() < lostAnswers;
       const lateMs =
         isLost && this.random() < late ? 1000 + 10_000 * this.random() : 0;
-      this.time.after(WAY_MS + WORK_MS + lateMs, () => {
+      this.time.after(ONE_WAY_MS + SERVICE_TIME_MS + lateMs, () => {
         const answer = work();
         if (!isLost && !isCut()) {
-          this.#after(caller, WAY_MS, () => {
+          this.#after(caller, ONE_WAY_MS, () => {
             resolve(answer);
           });
         }
@@ -99,7 +100,7 @@
   }
 
   /** What one instance reaches of store and platform. */
-  portsOf(of: VirtualCaller): DutyPorts {
+  createPorts(of: DutyClient): DutyPorts {
     const { name } = of;
     const noStore = (): boolean => this.cutFromStore.has(name);
     const noPlatform = (): boolean => this.cutFromPlatform.has(name);
@@ -109,7 +110,7 @@
           this.holdingCalls += 1;
           return this.#call(of, noStore, () => ({
             row: this.#row,
-            storeMs: STORE_MS + this.time.nowMs,
+            storeMs: INITIAL_STORE_MS + this.time.nowMs,
           }));
         },
         write: write => {
@@ -120,7 +121,7 @@
       platform: {
         reportUsage: (caller, { window, counts }) =>
           this.#call(of, noPlatform, () =>
-            this.#carryOut(caller, window, JSON.stringify(counts)),
+            this.#execute(caller, window, JSON.stringify(counts)),
           ),
         orderReplicas: () => Promise.reject(new Error('nothing to order')),
         close: () => undefined,
@@ -138,21 +139,21 @@
     return {
       kind: 'written',
       version: this.#row.version,
-      storeMs: STORE_MS + this.time.nowMs,
+      storeMs: INITIAL_STORE_MS + this.time.nowMs,
     };
   }
 
-  #carryOut(
+  #execute(
     { instance, token }: DutyCaller,
     window: number,
     counts: string,
   ): DutyAnswer {
-    if (token < this.#seenToken) {
+    if (token < this.#highestToken) {
       return 'refused';
     }
-    this.#seenToken = token;
+    this.#highestToken = token;
     const atMs = this.time.nowMs;
-    this.carriedOut.push({ holder: instance, token, atMs, window, counts });
+    this.executedCalls.push({ holder: instance, token, atMs, window, counts });
     return 'accepted';
   }
 }
--- a/packages/gateway/tests/helpers/VirtualFleet.ts
+++ b/packages/gateway/tests/helpers/VirtualFleet.ts
@@ -16,13 +16,13 @@
 import type { GatewayContext } from '../../src/GatewayContext.js';
 import { createSync } from '../../src/state/createSync.js';
 import {
-  configurationWith,
-  replicaNamed,
+  createConfiguration,
+  createReplica,
   ROUTE,
   SERVICE,
   TIME_LIMIT_MS,
-  toListed,
-  virtualContext,
+  createListedMember,
+  createVirtualContext,
 } from './virtualDeployment.js';
 import { VirtualLink } from './VirtualLink.js';
 import type { VirtualPeer } from './VirtualPeers.js';
@@ -31,7 +31,7 @@
 import { VirtualProcess, VirtualTime } from './VirtualTime.js';
 
 /** Time between two requests of an instance. */
-const REQUEST_EVERY_MS = 100;
+const REQUEST_INTERVAL_MS = 100;
 
 /** What a fleet has to live with. */
 export interface FleetConditions {
@@ -42,9 +42,9 @@
   /** Part of the datagrams that get lost. */
   readonly loss: number;
   /** Mean time that an instance is held up, each time; 0 for never. */
-  readonly heldUpMs: number;
+  readonly meanStallMs: number;
   /** Mean time from the end of such a time to the next. */
-  readonly everyMs: number;
+  readonly meanStallIntervalMs: number;
   readonly seed: number;
   /** Of each instance, in each direction; infinite where omitted. */
   readonly linkBitsPerS?: number;
@@ -55,7 +55,7 @@
 }
 
 /** How a request went out, or why it did not. */
-export type Asked =
+export type RequestOutcome =
   | { readonly kind: 'refused'; readonly code: string }
   | {
       readonly kind: 'sent';
@@ -64,7 +64,7 @@
     };
 
 /** Time after a crash until the entry of a replica lapses, and another has started. */
-const LAPSE_MS = 3000;
+const REPLACEMENT_MS = 3000;
 
 /** A request that reached a replica. */
 export interface Arrival {
@@ -72,20 +72,20 @@
   /** When its answer came; infinite before. */
   answeredAtMs: number;
   /** Whether the answer named a limit. */
-  toldLimit: boolean;
+  namedLimit: boolean;
   readonly instance: string;
   readonly replica: BackendServerId;
   readonly priority: number;
 }
 
-interface Flight {
+interface InFlightRequest {
   readonly context: GatewayContext;
   readonly attempt: GatewayAttempt;
   readonly settle: (result: AttemptResult) => void;
 }
 
 /** A request as it went out. */
-export interface Sent {
+export interface DispatchedRequest {
   readonly atMs: number;
   readonly instance: string;
   /**
@@ -105,42 +105,42 @@
 export class VirtualFleet {
   readonly time = new VirtualTime();
   readonly store: VirtualStore;
-  readonly sent: Sent[] = [];
+  readonly sent: DispatchedRequest[] = [];
   /** Requests that were turned away since their instance was behind others. */
-  behind = 0;
+  refusedAsBehind = 0;
   readonly instances: readonly VirtualInstance[];
   readonly #peers: VirtualPeers;
   readonly #random: () => number;
-  readonly #flights = new Set<Flight>();
+  readonly #inFlight = new Set<InFlightRequest>();
   readonly #limits = new Map<BackendServerId, number | null>();
   /** Requests that reached a replica. */
   readonly arrivals: Arrival[] = [];
   readonly #crashed = new Set<BackendServerId>();
-  #requests = 0;
-  #configurations = 1;
+  #requestCount = 0;
+  #configurationVersion = 1;
 
   constructor(private readonly conditions: FleetConditions) {
     const { instances, replicas, loss, routes = 1, seed } = conditions;
     this.#random = createRandom(seed);
     this.store = new VirtualStore(
       this.time,
-      configurationWith(this.#configurations, routes),
+      createConfiguration(this.#configurationVersion, routes),
     );
     this.#peers = new VirtualPeers(this.time, () => this.#random() < loss);
     Array.from({ length: replicas }, (_, index) => {
-      this.store.put(replicaNamed(`s-${index}`));
+      this.store.put(createReplica(`s-${index}`));
     });
     const names = Array.from({ length: instances }, (_, at) => `entry-${at}`);
     this.instances = names.map(name => this.#createInstance(name));
     this.instances.forEach(({ name, context }) => {
       const others = names.filter(other => other !== name);
-      context.membership.onList(others.map(toListed));
+      context.membership.onList(others.map(createListedMember));
     });
   }
 
   /** Writes that a replica is leaving. */
   leave(index: number): void {
-    this.store.put(replicaNamed(`s-${index}`, true));
+    this.store.put(createReplica(`s-${index}`, true));
   }
 
   /**
@@ -150,9 +150,11 @@
    * @returns its version
    */
   configure(routes = this.conditions.routes ?? 1): number {
-    this.#configurations += 1;
-    this.store.configure(configurationWith(this.#configurations, routes));
-    return this.#configurations;
+    this.#configurationVersion += 1;
+    this.store.configure(
+      createConfiguration(this.#configurationVersion, routes),
+    );
+    return this.#configurationVersion;
   }
 
   /** Versions of the configuration that the instances have in force. */
@@ -181,7 +183,7 @@
       this.conditions.linkBitsPerS ?? Infinity,
     );
     const { freshWithinMs } = this.conditions;
-    const context = virtualContext(name, freshWithinMs, time, process);
+    const context = createVirtualContext(name, freshWithinMs, time, process);
     return { name, process, link, context };
   }
 
@@ -190,42 +192,43 @@
     const { reader, peers } = createSync(
       context,
       {
-        store: this.store.seenBy(instance),
+        store: this.store.connect(instance),
         link: this.#peers.connect(instance),
       },
       () => undefined,
     );
     reader.start();
     await peers.start();
-    this.#holdUp(process);
-    this.#request(name, process, context);
+    this.#scheduleStalls(process);
+    this.#scheduleRequests(name, process, context);
   }
 
-  #holdUp(process: VirtualProcess): void {
-    const { heldUpMs, everyMs } = this.conditions;
+  #scheduleStalls(process: VirtualProcess): void {
+    const { meanStallMs: heldUpMs, meanStallIntervalMs: everyMs } =
+      this.conditions;
     if (heldUpMs === 0) {
       return;
     }
     this.time.after(2 * everyMs * this.#random(), () => {
       const forMs = 2 * heldUpMs * this.#random();
-      process.heldUntilMs = this.time.nowMs + forMs;
+      process.stalledUntilMs = this.time.nowMs + forMs;
       this.time.after(forMs, () => {
-        this.#holdUp(process);
+        this.#scheduleStalls(process);
       });
     });
   }
 
-  #request(
+  #scheduleRequests(
     name: string,
     process: VirtualProcess,
     context: GatewayContext,
   ): void {
     this.time.after(
-      REQUEST_EVERY_MS * (0.5 + this.#random()),
+      REQUEST_INTERVAL_MS * (0.5 + this.#random()),
       () => {
-        this.#request(name, process, context);
-        this.#requests += 1;
-        void this.#ask(name, context, this.#freshContent());
+        this.#scheduleRequests(name, process, context);
+        this.#requestCount += 1;
+        void this.#sendRequest(name, context, this.#uniqueFingerprint());
       },
       process,
       'read',
@@ -233,9 +236,9 @@
   }
 
   /** Content that no other request has. */
-  #freshContent(): RequestFingerprint {
+  #uniqueFingerprint(): RequestFingerprint {
     return brand<RequestFingerprint>(
-      this.#requests.toString(16).padStart(16, '0'),
+      this.#requestCount.toString(16).padStart(16, '0'),
     );
   }
 
@@ -245,20 +248,23 @@
    * @param index - of the instance
    * @param content - what its repeats have in common
    */
-  async ask(index: number, content: RequestFingerprint): Promise<Asked> {
+  async sendRequest(
+    index: number,
+    content: RequestFingerprint,
+  ): Promise<RequestOutcome> {
     const instance = this.instances[index];
     if (!instance) {
       throw new Error(`there is no instance ${index}`);
     }
-    this.#requests += 1;
-    return this.#ask(instance.name, instance.context, content);
+    this.#requestCount += 1;
+    return this.#sendRequest(instance.name, instance.context, content);
   }
 
-  async #ask(
+  async #sendRequest(
     name: string,
     context: GatewayContext,
     content: RequestFingerprint,
-  ): Promise<Asked> {
+  ): Promise<RequestOutcome> {
     const decision = await this.#place(name, context, content);
     if (decision?.kind !== 'send') {
       return { kind: 'refused', code: decision?.code ?? 'noRoutingKnown' };
@@ -278,7 +284,7 @@
       return null;
     }
     const request: GatewayRequest = {
-      id: brand<RequestId>(`q-${this.#requests}`),
+      id: brand<RequestId>(`q-${this.#requestCount}`),
       route: ROUTE,
       service,
       organisation: null,
@@ -301,7 +307,7 @@
       const viewAgeMs = context.router.board.replicas.ageMs;
       this.sent.push({ atMs, instance: name, missedLeaveMs, viewAgeMs });
     } else if (decision.code === 'viewOutdated') {
-      this.behind += 1;
+      this.refusedAsBehind += 1;
     }
     return { ...decision, request };
   }
@@ -327,19 +333,19 @@
       const arrival: Arrival = {
         atMs: this.time.nowMs,
         answeredAtMs: Infinity,
-        toldLimit: false,
+        namedLimit: false,
         instance: context.settings.instance,
         replica: placed.load.replica.id,
         priority: request.priority,
       };
       this.arrivals.push(arrival);
       const flight = { context, attempt, settle };
-      this.#flights.add(flight);
+      this.#inFlight.add(flight);
       this.time.after(answerMs, () => {
-        if (this.#flights.delete(flight)) {
+        if (this.#inFlight.delete(flight)) {
           const perS = this.#limits.get(placed.load.replica.id) ?? null;
           router.onLimit(attempt, perS);
-          arrival.toldLimit = perS !== null;
+          arrival.namedLimit = perS !== null;
           arrival.answeredAtMs = this.time.nowMs;
           router.onReported(attempt, { running: 3, waiting: 0, slots: 64 });
           settle(answered);
@@ -371,16 +377,16 @@
    */
   crash(id: BackendServerId): number {
     this.#crashed.add(id);
-    const lost = [...this.#flights].filter(
+    const lost = [...this.#inFlight].filter(
       ({ attempt }) => attempt.load.replica.id === id,
     );
     lost.forEach(flight => {
-      this.#flights.delete(flight);
+      this.#inFlight.delete(flight);
       flight.settle({ kind: 'lost', reason: 'socket hang up' });
     });
-    this.time.after(LAPSE_MS, () => {
+    this.time.after(REPLACEMENT_MS, () => {
       this.store.remove(id);
-      this.store.put(replicaNamed(`${id}-again`));
+      this.store.put(createReplica(`${id}-again`));
     });
     return lost.length;
   }
--- a/packages/gateway/tests/helpers/VirtualLink.ts
+++ b/packages/gateway/tests/helpers/VirtualLink.ts
@@ -8,8 +8,8 @@
 
 /** The link of one machine: what is sent or received waits for what is before it. */
 export class VirtualLink {
-  #sendsUntilMs = 0;
-  #receivesUntilMs = 0;
+  #sendBusyUntilMs = 0;
+  #receiveBusyUntilMs = 0;
   /** Bytes that were sent. */
   sentBytes = 0;
 
@@ -31,19 +31,20 @@
     const all = bytes + packets * HEADER_BYTES;
     this.sentBytes += all;
     const { nowMs } = this.time;
-    const sentMs = Math.max(nowMs, this.#sendsUntilMs) + this.#msOf(all);
-    this.#sendsUntilMs = sentMs;
-    const beginsMs = Math.max(sentMs + wayMs, other.#receivesUntilMs);
+    const sentMs =
+      Math.max(nowMs, this.#sendBusyUntilMs) + this.#transmissionMs(all);
+    this.#sendBusyUntilMs = sentMs;
+    const beginsMs = Math.max(sentMs + wayMs, other.#receiveBusyUntilMs);
     // The other side receives while this one sends; the slower of them decides.
     const arrivedMs = Math.max(
       sentMs + wayMs,
-      beginsMs + other.#msOf(all) - this.#msOf(all),
+      beginsMs + other.#transmissionMs(all) - this.#transmissionMs(all),
     );
-    other.#receivesUntilMs = arrivedMs;
+    other.#receiveBusyUntilMs = arrivedMs;
     return arrivedMs - nowMs;
   }
 
-  #msOf(bytes: number): number {
+  #transmissionMs(bytes: number): number {
     return (bytes * BITS_PER_BYTE * MS_PER_SECOND) / this.bitsPerS;
   }
 }
--- a/packages/gateway/tests/helpers/VirtualPeers.ts
+++ b/packages/gateway/tests/helpers/VirtualPeers.ts
@@ -6,7 +6,7 @@
 import type { VirtualProcess, VirtualTime } from './VirtualTime.js';
 
 /** One way between two instances. */
-const WAY_MS = 1;
+const ONE_WAY_MS = 1;
 /** Time that a pull may take. */
 const PULL_TIMEOUT_MS = 500;
 
@@ -43,7 +43,7 @@
       send: (bytes, to) => {
         const other = this.#peers.get(to);
         if (other && !this.isLost()) {
-          this.#carry(self, other, bytes.length, () =>
+          this.#deliver(self, other, bytes.length, () =>
             this.#receivers.get(to)?.onDatagram(bytes, address),
           );
         }
@@ -71,12 +71,12 @@
         return;
       }
       const asked = GatewayState.encode(state).finish();
-      this.#carry(self, other, asked.length, () => {
+      this.#deliver(self, other, asked.length, () => {
         const receiver = this.#receivers.get(to);
         const reply = receiver?.onPull(GatewayState.decode(asked));
         if (reply) {
           const told = GatewayState.encode(reply).finish();
-          this.#carry(other, self, told.length, () => {
+          this.#deliver(other, self, told.length, () => {
             resolve(GatewayState.decode(told));
           });
         }
@@ -85,13 +85,13 @@
   }
 
   /** Does something at an instance when so many bytes have reached it. */
-  #carry(
+  #deliver(
     from: VirtualPeer,
     to: VirtualPeer,
     bytes: number,
     run: () => void,
   ): void {
-    const arrivesMs = from.link.sendTo(to.link, bytes, WAY_MS);
+    const arrivesMs = from.link.sendTo(to.link, bytes, ONE_WAY_MS);
     this.time.after(arrivesMs, run, to.process, 'read');
   }
 }
--- a/packages/gateway/tests/helpers/VirtualStore.ts
+++ b/packages/gateway/tests/helpers/VirtualStore.ts
@@ -11,15 +11,15 @@
 import type { VirtualProcess, VirtualTime } from './VirtualTime.js';
 
 /** One way between an instance and the store. */
-const WAY_MS = 1;
+const ONE_WAY_MS = 1;
 /** Time in which the store does what it is asked. */
-const WORK_MS = 4;
+const SERVICE_TIME_MS = 4;
 
 /** What the store's clock shows when the others begin. */
-const STARTED_MS = 5_000_000;
+const INITIAL_STORE_MS = 5_000_000;
 
 /** A leave of a replica that the store has acknowledged. */
-export interface Leave {
+export interface AcknowledgedLeave {
   readonly id: BackendServerId;
   readonly atMs: number;
 }
@@ -29,15 +29,15 @@
 /** Bytes of an entry in an answer. */
 const ROW_BYTES = 300;
 /** Content lies in rows as base64. */
-const BASE64_SHARE = 4 / 3;
+const BASE64_RATIO = 4 / 3;
 
 /** A client of the store. */
-export interface StoreCaller {
+export interface VirtualStoreClient {
   readonly process: VirtualProcess;
   readonly link: VirtualLink;
 }
 
-interface Waiting {
+interface PendingWatch {
   readonly answer: () => void;
 }
 
@@ -45,10 +45,10 @@
 export class VirtualStore {
   readonly #rows = new Map<string, ReplicaRow>();
   readonly #link: VirtualLink;
-  readonly leaves: Leave[] = [];
-  #waiting: Waiting[] = [];
+  readonly leaves: AcknowledgedLeave[] = [];
+  #pendingWatches: PendingWatch[] = [];
   #version = 1;
-  #configuredAt = 1;
+  #configurationVersion = 1;
   calls = 0;
 
   constructor(
@@ -78,17 +78,17 @@
   /** Puts a configuration; whoever watches it is told at once. */
   configure(cfg: RoutingConfiguration): void {
     this.#version += 1;
-    this.#configuredAt = this.#version;
+    this.#configurationVersion = this.#version;
     this.configuration = cfg;
-    const waiting = this.#waiting;
-    this.#waiting = [];
+    const waiting = this.#pendingWatches;
+    this.#pendingWatches = [];
     waiting.forEach(({ answer }) => {
       answer();
     });
   }
 
   /** The store as one instance sees it. */
-  seenBy({ process, link }: StoreCaller): DiscoveryStore {
+  connect({ process, link }: VirtualStoreClient): DiscoveryStore {
     /** Sends a call, lets the store work, and sends what it answers. */
     const ask = <Answer>(
       work: (answer: () => void) => void,
@@ -96,10 +96,14 @@
     ) =>
       new Promise<Answer>(resolve => {
         this.calls += 1;
-        this.time.after(link.sendTo(this.#link, CALL_BYTES, WAY_MS), () => {
+        this.time.after(link.sendTo(this.#link, CALL_BYTES, ONE_WAY_MS), () => {
           work(() => {
             const { answer, bytes } = answerOf();
-            const backMs = this.#link.sendTo(link, CALL_BYTES + bytes, WAY_MS);
+            const backMs = this.#link.sendTo(
+              link,
+              CALL_BYTES + bytes,
+              ONE_WAY_MS,
+            );
             this.time.after(
               backMs,
               () => {
@@ -112,18 +116,18 @@
         });
       });
     const atOnce = (answer: () => void): void => {
-      this.time.after(WORK_MS, answer);
+      this.time.after(SERVICE_TIME_MS, answer);
     };
     const whole = () => ({
-      answer: { configuration: this.configuration, ...this.#state },
-      bytes: BASE64_SHARE * JSON.stringify(this.configuration).length,
+      answer: { configuration: this.configuration, ...this.#versionAndClock },
+      bytes: BASE64_RATIO * JSON.stringify(this.configuration).length,
     });
     const entries = (after: number) => {
       const rows = [...this.#rows.values()].filter(
         ({ rowVersion }) => rowVersion > after,
       );
       return {
-        answer: { rows, ...this.#state },
+        answer: { rows, ...this.#versionAndClock },
         bytes: ROW_BYTES * rows.length,
       };
     };
@@ -132,16 +136,19 @@
       watchConfiguration: (after, waitMs) =>
         ask<ConfigurationRead>(
           answer => {
-            if (this.#configuredAt > after || waitMs === 0) {
+            if (this.#configurationVersion > after || waitMs === 0) {
               atOnce(answer);
               return;
             }
-            this.#wait(answer, waitMs);
+            this.#addWatch(answer, waitMs);
           },
           () =>
-            this.#configuredAt > after
+            this.#configurationVersion > after
               ? whole()
-              : { answer: { configuration: null, ...this.#state }, bytes: 0 },
+              : {
+                  answer: { configuration: null, ...this.#versionAndClock },
+                  bytes: 0,
+                },
         ),
       readReplicas: () => ask(atOnce, () => entries(0)),
       changedReplicas: after => ask(atOnce, () => entries(after)),
@@ -151,18 +158,23 @@
     };
   }
 
-  #wait(answer: () => void, waitMs: number): void {
+  #addWatch(answer: () => void, waitMs: number): void {
     const waiting = { answer };
-    this.#waiting.push(waiting);
+    this.#pendingWatches.push(waiting);
     this.time.after(waitMs, () => {
-      if (this.#waiting.includes(waiting)) {
-        this.#waiting = this.#waiting.filter(other => other !== waiting);
+      if (this.#pendingWatches.includes(waiting)) {
+        this.#pendingWatches = this.#pendingWatches.filter(
+          other => other !== waiting,
+        );
         answer();
       }
     });
   }
 
-  get #state() {
-    return { version: this.#version, storeMs: STARTED_MS + this.time.nowMs };
+  get #versionAndClock() {
+    return {
+      version: this.#version,
+      storeMs: INITIAL_STORE_MS + this.time.nowMs,
+    };
   }
 }
--- a/packages/gateway/tests/helpers/VirtualTime.ts
+++ b/packages/gateway/tests/helpers/VirtualTime.ts
@@ -8,7 +8,7 @@
 
 const PHASES: readonly LoopPhase[] = ['timer', 'read', 'check'];
 
-interface Due {
+interface ScheduledTask {
   readonly atMs: number;
   readonly phase: number;
   readonly order: number;
@@ -17,20 +17,20 @@
 }
 
 /** Lets go on whoever awaits what has been done. */
-function settled(): Promise<void> {
+function flushPromises(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
 
 /** A process that has no processor now and then. */
 export class VirtualProcess {
-  heldUntilMs = 0;
+  stalledUntilMs = 0;
 }
 
 /** One clock for many processes; what is due while one is held up waits for it. */
 export class VirtualTime {
   #nowMs = 0;
   #order = 0;
-  readonly #due = new Heap<Due>(
+  readonly #due = new Heap<ScheduledTask>(
     (a, b) => a.atMs - b.atMs || a.phase - b.phase || a.order - b.order,
   );
 
@@ -69,17 +69,17 @@
   /** Lets time pass, with all that awaits it. */
   async run(ms: number): Promise<void> {
     const untilMs = this.#nowMs + ms;
-    await settled();
+    await flushPromises();
     let next = this.#due.peek();
     while (next && next.atMs <= untilMs) {
       this.#due.pop();
-      const heldUntilMs = next.process?.heldUntilMs ?? 0;
+      const heldUntilMs = next.process?.stalledUntilMs ?? 0;
       if (heldUntilMs > next.atMs) {
         this.#due.push({ ...next, atMs: heldUntilMs });
       } else {
         this.#nowMs = next.atMs;
         next.run();
-        await settled();
+        await flushPromises();
       }
       next = this.#due.peek();
     }
--- a/packages/gateway/tests/helpers/createVirtualTimers.ts
+++ b/packages/gateway/tests/helpers/createVirtualTimers.ts
@@ -2,7 +2,10 @@
 import type { VirtualProcess, VirtualTime } from './VirtualTime.js';
 
 /** Timers of one process on virtual time. */
-export function timersOn(time: VirtualTime, process: VirtualProcess): Timers {
+export function createVirtualTimers(
+  time: VirtualTime,
+  process: VirtualProcess,
+): Timers {
   return {
     after: (ms, run) => time.after(ms, run, process),
     every: (ms, run) => {
--- a/packages/gateway/tests/helpers/limitUse.ts
+++ b/packages/gateway/tests/helpers/limitUse.ts
@@ -5,20 +5,22 @@
 const WINDOW_MS = 4000;
 const MS_PER_SECOND = 1000;
 /** An instance is bound so long after it has passed on an answer that names the limit. */
-const TOLD_MS = 500;
+const INSTANCE_GRACE_MS = 500;
 /** What a replica may get beyond its limit. */
 const TOLERANCE = 1.5;
-const EXTRA = 5;
+const EXTRA_REQUESTS = 5;
 
 /** What a limited replica may get in any four seconds. */
 export function allowedInWindow(perS: number): number {
-  return (TOLERANCE * perS * WINDOW_MS) / MS_PER_SECOND + EXTRA;
+  return (TOLERANCE * perS * WINDOW_MS) / MS_PER_SECOND + EXTRA_REQUESTS;
 }
 
 /** When each instance was first told of a replica's limit. */
-function toldAtMs(arrivals: readonly Arrival[]): ReadonlyMap<string, number> {
+function limitLearntAtMs(
+  arrivals: readonly Arrival[],
+): ReadonlyMap<string, number> {
   return arrivals
-    .filter(({ toldLimit }) => toldLimit)
+    .filter(({ namedLimit: toldLimit }) => toldLimit)
     .reduce(
       (told, { instance, answeredAtMs }) =>
         told.set(
@@ -35,15 +37,16 @@
  * @param arrivals - at this replica, in order
  * @param fromMs - from when the limit binds
  */
-export function mostInWindow(
+export function peakInWindow(
   arrivals: readonly Arrival[],
   fromMs: number,
 ): number {
-  const told = toldAtMs(arrivals);
+  const told = limitLearntAtMs(arrivals);
   const bound = arrivals
     .filter(
       ({ instance, atMs }) =>
-        atMs >= fromMs && atMs > (told.get(instance) ?? Infinity) + TOLD_MS,
+        atMs >= fromMs &&
+        atMs > (told.get(instance) ?? Infinity) + INSTANCE_GRACE_MS,
     )
     .map(({ atMs }) => atMs);
   return bound.reduce((most, atMs, index) => {
@@ -53,7 +56,7 @@
 }
 
 /** @returns the arrivals at each replica */
-export function byReplica(
+export function groupByReplica(
   arrivals: readonly Arrival[],
 ): ReadonlyMap<string, readonly Arrival[]> {
   return groupBy(arrivals, ({ replica }) => replica as string);
--- a/packages/gateway/tests/helpers/virtualDeployment.ts
+++ b/packages/gateway/tests/helpers/virtualDeployment.ts
@@ -15,7 +15,7 @@
 
 import { createContext } from '../../src/createContext.js';
 import type { GatewayContext } from '../../src/GatewayContext.js';
-import { timersOn } from './timersOn.js';
+import { createVirtualTimers } from './createVirtualTimers.js';
 import type { VirtualProcess, VirtualTime } from './VirtualTime.js';
 
 export const SERVICE = brand<ServiceId>('stock');
@@ -38,16 +38,16 @@
 };
 
 /** Names that look drawn, so that they compress like an operator's. */
-function nameOf(index: number): string {
+function pseudoRandomName(index: number): string {
   return murmurhash.v3(`route ${index}`).toString(36);
 }
 
-function routeNumber(index: number, timeoutMs: number): Route {
-  const name = nameOf(index);
+function createRoute(index: number, timeoutMs: number): Route {
+  const name = pseudoRandomName(index);
   return {
     ...ROUTE,
     id: brand<RouteId>(`r-${name}`),
-    prefix: `/${nameOf(index + 0.5)}/`,
+    prefix: `/${pseudoRandomName(index + 0.5)}/`,
     timeoutMs,
   };
 }
@@ -58,12 +58,12 @@
  * @param version - of it
  * @param routes - that it has
  */
-export function configurationWith(
+export function createConfiguration(
   version: number,
   routes: number,
 ): RoutingConfiguration {
   const others = Array.from({ length: routes - 1 }, (_, index) =>
-    routeNumber(index, TIME_LIMIT_MS + (index === 0 ? version : 0)),
+    createRoute(index, TIME_LIMIT_MS + (index === 0 ? version : 0)),
   );
   return {
     version,
@@ -79,7 +79,7 @@
   };
 }
 
-export function replicaNamed(name: string, leaving = false): Replica {
+export function createReplica(name: string, leaving = false): Replica {
   return {
     id: brand<BackendServerId>(name),
     service: SERVICE,
@@ -97,7 +97,7 @@
   return `${instance}:2`;
 }
 
-export function toListed(instance: string): ListedMember {
+export function createListedMember(instance: string): ListedMember {
   return {
     id: brand<InstanceId>(instance),
     failureDomain: DOMAIN,
@@ -108,7 +108,7 @@
 }
 
 /** What an instance needs to take part in the duties of a fleet. */
-export interface VirtualDutyParts {
+export interface VirtualDutyOptions {
   readonly settings: DutySettings;
   readonly startedMs: number;
   readonly timeOfDay: () => number;
@@ -123,12 +123,12 @@
  * @param process - that it runs in
  * @param duties - that the fleet has; null for none
  */
-export function virtualContext(
+export function createVirtualContext(
   instance: string,
   freshWithinMs: number,
   time: VirtualTime,
   process: VirtualProcess,
-  duties: VirtualDutyParts | null = null,
+  duties: VirtualDutyOptions | null = null,
 ): GatewayContext {
   return createContext(
     {
@@ -153,7 +153,7 @@
       dialect: null as never,
       log: SILENT_LOG,
       clock: () => time.nowMs,
-      timers: timersOn(time, process),
+      timers: createVirtualTimers(time, process),
       startedMs: duties?.startedMs ?? 1,
       ...(duties ? { timeOfDay: duties.timeOfDay } : {}),
     },
--- a/packages/gateway/tests/state/StoreReader.test.ts
+++ b/packages/gateway/tests/state/StoreReader.test.ts
@@ -7,7 +7,10 @@
 import type { DiscoveryStore } from '../../src/ports/DiscoveryStore.js';
 import { FleetView } from '../../src/state/FleetView.js';
 import { StoreReader } from '../../src/state/StoreReader.js';
-import { replicaNamed, virtualContext } from '../helpers/virtualDeployment.js';
+import {
+  createReplica,
+  createVirtualContext,
+} from '../helpers/virtualDeployment.js';
 import { VirtualProcess, VirtualTime } from '../helpers/VirtualTime.js';
 
 const REPLICA = brand<BackendServerId>('s-1');
@@ -16,7 +19,7 @@
 const stands: ReplicaRow = {
   id: REPLICA,
   rowVersion: 1,
-  replica: replicaNamed(REPLICA),
+  replica: createReplica(REPLICA),
 };
 const removed: ReplicaRow = { id: REPLICA, rowVersion: 2, replica: null };
 
@@ -31,7 +34,7 @@
   constructor() {
     const { time } = this;
     const process = new VirtualProcess();
-    this.context = virtualContext('entry-0', BOUND_MS, time, process);
+    this.context = createVirtualContext('entry-0', BOUND_MS, time, process);
     const view = new FleetView(this.context, () => undefined);
     new StoreReader(this.context, this.#store, view).start();
   }
--- a/packages/gateway/tests/state/ViewLease.test.ts
+++ b/packages/gateway/tests/state/ViewLease.test.ts
@@ -4,9 +4,9 @@
 import type { FailureDomainId, InstanceId } from '@jujubecroft/types';
 import { brand } from '@jujubecroft/types';
 
-import type { LeaseState, RenewView } from '../../src/state/ViewLease.js';
+import type { ViewLeaseState, RenewView } from '../../src/state/ViewLease.js';
 import { ViewLease } from '../../src/state/ViewLease.js';
-import { timersOn } from '../helpers/timersOn.js';
+import { createVirtualTimers } from '../helpers/createVirtualTimers.js';
 import { VirtualProcess, VirtualTime } from '../helpers/VirtualTime.js';
 
 const BOUND_MS = 2000;
@@ -25,7 +25,7 @@
   /** Makes the view current as of now. */
   readonly confirm: () => void;
   /** What a request learns, and how long it waited. */
-  readonly obtain: () => Promise<{ state: LeaseState; waitedMs: number }>;
+  readonly obtain: () => Promise<{ state: ViewLeaseState; waitedMs: number }>;
 }
 
 function fixture(renewView: (confirm: () => void) => RenewView): Fixture {
@@ -45,12 +45,12 @@
   };
   const lease = new ViewLease(
     board,
-    timersOn(time, new VirtualProcess()),
+    createVirtualTimers(time, new VirtualProcess()),
     () => BOUND_MS,
   );
   const renewals: number[] = [];
   const renew = renewView(confirm);
-  lease.renewBy(() => {
+  lease.setRenewal(() => {
     renewals.push(time.nowMs);
     return renew();
   });
@@ -94,7 +94,7 @@
     await time.run(TOO_OLD_MS);
     time.after(30, () => {
       confirm();
-      lease.look();
+      lease.onViewUpdated();
     });
     t.deepEqual(await obtain(), { state: 'usable', waitedMs: 30 });
   });
--- a/packages/gateway/tests/state/configurationSpread.test.ts
+++ b/packages/gateway/tests/state/configurationSpread.test.ts
@@ -9,8 +9,8 @@
   replicas: 12,
   freshWithinMs: BOUND_MS,
   loss: 0.01,
-  heldUpMs: 0,
-  everyMs: 0,
+  meanStallMs: 0,
+  meanStallIntervalMs: 0,
   seed: 1,
   linkBitsPerS: 10e6,
 };
@@ -31,7 +31,7 @@
     const version = fleet.configure(1450);
     await fleet.time.run(BOUND_MS);
     t.is(fleet.versions.filter(known => known < version).length, 0);
-    t.is(fleet.behind, 0);
+    t.is(fleet.refusedAsBehind, 0);
   });
 
   it('is in force at sixty instances in time, one after the other', async t => {
@@ -43,7 +43,7 @@
     await fleet.start();
     await fleet.time.run(5000);
     t.true(fleet.versions.every(version => version === 1));
-    const before = fleet.behind;
+    const before = fleet.refusedAsBehind;
     const missing: number[] = [];
     for (let change = 0; change < CHANGES; change += 1) {
       const version = fleet.configure();
@@ -57,6 +57,6 @@
       missing,
       missing.map(() => 0),
     );
-    t.is(fleet.behind, before);
+    t.is(fleet.refusedAsBehind, before);
   });
 });
--- a/packages/gateway/tests/state/crashesInForce.test.ts
+++ b/packages/gateway/tests/state/crashesInForce.test.ts
@@ -30,8 +30,8 @@
   const fleet = new VirtualFleet({
     replicas: REPLICAS,
     loss: 0.02,
-    heldUpMs: 200,
-    everyMs: 500,
+    meanStallMs: 200,
+    meanStallIntervalMs: 500,
     freshWithinMs: 3000,
     answerMs: ANSWER_MS,
     ...conditions,
@@ -55,7 +55,7 @@
   };
   for (let repeat = 0; repeat < REPEATS; repeat += 1) {
     const index = Math.floor(random() * conditions.instances);
-    void fleet.ask(index, CONTENT).then(asked => {
+    void fleet.sendRequest(index, CONTENT).then(asked => {
       if (asked.kind === 'sent') {
         onSent(asked.replica);
       }
--- a/packages/gateway/tests/state/gatewayState.test.ts
+++ b/packages/gateway/tests/state/gatewayState.test.ts
@@ -8,9 +8,9 @@
 import { toDutyFields } from '../../src/state/dutyMessage.js';
 import {
   fromReplicaFields,
-  fromWork,
+  toPeerWork,
   toDemands,
-  toMoment,
+  toStoreTime,
   toReplicaFields,
   toUses,
 } from '../../src/state/gatewayState.js';
@@ -26,8 +26,8 @@
     const message = GatewayState.encode({
       heartbeat: undefined,
       configurationVersion: 3,
-      storeMs: toMoment(Infinity),
-      configurationAsOfMs: toMoment(-Infinity),
+      storeMs: toStoreTime(Infinity),
+      configurationAsOfMs: toStoreTime(-Infinity),
       uses: toUses([
         {
           id,
@@ -58,7 +58,7 @@
       answerTo: 0,
       viewOnly: false,
     });
-    const work = fromWork(GatewayState.decode(message.finish()));
+    const work = toPeerWork(GatewayState.decode(message.finish()));
     t.deepEqual(work.uses[0]?.unreadByRank, [0, 5889, 88]);
     t.is(work.uses[0]?.bornMs, 1_764_000_000_123);
     t.is(work.demands[0]?.tokensPerS, 10.25);
--- a/packages/gateway/tests/state/innocentsOfCrashes.test.ts
+++ b/packages/gateway/tests/state/innocentsOfCrashes.test.ts
@@ -2,7 +2,7 @@
 import { brand, createRandom } from '@jujubecroft/types';
 import { describe } from '@jujubecroft/testing';
 
-import type { Asked } from '../helpers/VirtualFleet.js';
+import type { RequestOutcome } from '../helpers/VirtualFleet.js';
 import { VirtualFleet } from '../helpers/VirtualFleet.js';
 
 const REPLICAS = 12;
@@ -28,8 +28,8 @@
     instances,
     replicas: REPLICAS,
     loss: 0.02,
-    heldUpMs: 0,
-    everyMs: 0,
+    meanStallMs: 0,
+    meanStallIntervalMs: 0,
     freshWithinMs: 3000,
     answerMs: 300,
     seed: 1,
@@ -41,7 +41,7 @@
 
   const ask = async (content: RequestFingerprint, tries: number) => {
     const index = Math.floor(random() * instances);
-    const asked: Asked = await fleet.ask(index, content);
+    const asked: RequestOutcome = await fleet.sendRequest(index, content);
     if (asked.kind === 'refused') {
       codes.push(asked.code);
       return;
--- a/packages/gateway/tests/state/leaveInForce.test.ts
+++ b/packages/gateway/tests/state/leaveInForce.test.ts
@@ -1,6 +1,9 @@
 import { describe } from '@jujubecroft/testing';
 
-import type { FleetConditions, Sent } from '../helpers/VirtualFleet.js';
+import type {
+  FleetConditions,
+  DispatchedRequest,
+} from '../helpers/VirtualFleet.js';
 import { VirtualFleet } from '../helpers/VirtualFleet.js';
 
 const LEAVES = 4;
@@ -11,7 +14,7 @@
 /** Plays leaves and returns the requests that went out too long after one. */
 async function sentTooLate(
   conditions: Omit<FleetConditions, 'replicas'>,
-): Promise<readonly Sent[]> {
+): Promise<readonly DispatchedRequest[]> {
   const fleet = new VirtualFleet({ replicas: REPLICAS, ...conditions });
   await fleet.start();
   for (let leave = 0; leave < LEAVES; leave += 1) {
@@ -30,7 +33,7 @@
 // view without a leave of 2,222 ms ago for 73 ms old; and no request was held back where
 // the age was known, as with one placed by a view of 5,809 ms ("replicasAgeMs":5809).
 describe('a leave is in force in time', ({ it }) => {
-  const heldUp = { loss: 0.02, heldUpMs: 1500, everyMs: 500 };
+  const heldUp = { loss: 0.02, meanStallMs: 1500, meanStallIntervalMs: 500 };
 
   it('at six instances that are held up again and again', async t => {
     const late = await Promise.all(
--- a/packages/gateway/tests/state/limitsInForce.test.ts
+++ b/packages/gateway/tests/state/limitsInForce.test.ts
@@ -4,8 +4,8 @@
 
 import {
   allowedInWindow,
-  byReplica,
-  mostInWindow,
+  groupByReplica,
+  peakInWindow,
 } from '../helpers/limitUse.js';
 import { VirtualFleet } from '../helpers/VirtualFleet.js';
 
@@ -41,8 +41,8 @@
     instances,
     replicas,
     loss: 0.02,
-    heldUpMs: load.heldUpMs ?? 0,
-    everyMs: 500,
+    meanStallMs: load.heldUpMs ?? 0,
+    meanStallIntervalMs: 500,
     freshWithinMs: 3000,
     answerMs: ANSWER_MS,
     seed,
@@ -56,12 +56,12 @@
   });
   const fromMs = fleet.time.nowMs + contactMs;
   await fleet.time.run(contactMs + LOAD_MS);
-  const perReplica = byReplica(fleet.arrivals);
+  const perReplica = groupByReplica(fleet.arrivals);
   const late = fleet.arrivals.filter(({ atMs }) => atMs >= fromMs);
   const atLimited = late.filter(({ replica }) => limitedIds.includes(replica));
   const seconds = LOAD_MS / MS_PER_SECOND;
   return {
-    most: limitedIds.map(id => mostInWindow(perReplica.get(id) ?? [], fromMs)),
+    most: limitedIds.map(id => peakInWindow(perReplica.get(id) ?? [], fromMs)),
     use: atLimited.length / (LIMIT_PER_S * limited * seconds),
     othersPerS: (late.length - atLimited.length) / seconds,
   };
--- a/packages/gateway/tests/state/peerBytes.test.ts
+++ b/packages/gateway/tests/state/peerBytes.test.ts
@@ -22,8 +22,8 @@
       replicas: 60,
       freshWithinMs: 4000,
       loss: 0.01,
-      heldUpMs: 0,
-      everyMs: 0,
+      meanStallMs: 0,
+      meanStallIntervalMs: 0,
       seed: 1,
       answerMs: 800,
     });
