--- a/packages/gateway/src/state/StoreReader.ts
+++ b/packages/gateway/src/state/StoreReader.ts
@@ -192,6 +192,7 @@
     if (changed !== HISTORY_GONE) {
       const { rows, version, storeMs } = changed;
       this.#updateStoreClock(storeMs, askedMs);
+      // Must precede the rows: after an outage, expired entries in them are tolerated.
       this.#onAnswered();
       this.view.onReplicas(replicas.applyRows(rows, version, storeMs), 'store');
       return;
--- a/packages/gateway/src/state/gatewayState.ts
+++ b/packages/gateway/src/state/gatewayState.ts
@@ -18,7 +18,7 @@
 } from '@jujubecroft/types';
 import { brand } from '@jujubecroft/types';
 
-/** Stands on the wire for the removal time of an entry that exists. */
+/** Stands on the wire for the removal time of an entry that hasn't been removed. */
 const NOT_GONE = -1;
 /** Stands on the wire for a time that is unknown or never came. */
 const UNKNOWN_TIME = -1;
