--- a/packages/gateway/tests/helpers/VirtualPeers.ts
+++ b/packages/gateway/tests/helpers/VirtualPeers.ts
@@ -5,33 +5,33 @@
 import type { VirtualLink } from './VirtualLink.js';
 import type { VirtualProcess, VirtualTime } from './VirtualTime.js';
 
-/** One way between two instances. */
-const WAY_MS = 1;
-/** Time that a pull may take. */
+/** Network delay between two instances, in one direction. */
+const ONE_WAY_MS = 1;
+/** Timeout of a pull. */
 const PULL_TIMEOUT_MS = 500;
 
-/** One end of the network. */
+/** An instance on the network. */
 export interface VirtualPeer {
   readonly name: string;
   readonly process: VirtualProcess;
   readonly link: VirtualLink;
 }
 
-/** The network between instances, on virtual time. */
+/** The network between instances, in virtual time. */
 export class VirtualPeers {
   readonly #peers = new Map<string, VirtualPeer>();
   readonly #receivers = new Map<string, PeerReceiver>();
 
   /**
-   * @param time - the clock of all
-   * @param isLost - draws whether a datagram gets lost
+   * @param time - the clock of all instances
+   * @param isLost - draws whether the next datagram gets lost
    */
   constructor(
     private readonly time: VirtualTime,
     private readonly isLost: () => boolean,
   ) {}
 
-  /** Connects an instance, and returns its way to the others. */
+  /** Connects an instance, and returns its link to the others. */
   connect(self: VirtualPeer): PeerLink {
     const address = peerAddressOf(self.name);
     this.#peers.set(address, self);
@@ -43,7 +43,7 @@
       send: (bytes, to) => {
         const other = this.#peers.get(to);
         if (other && !this.isLost()) {
-          this.#carry(self, other, bytes.length, () =>
+          this.#deliver(self, other, bytes.length, () =>
             this.#receivers.get(to)?.onDatagram(bytes, address),
           );
         }
@@ -70,28 +70,28 @@
       if (!other) {
         return;
       }
-      const asked = GatewayState.encode(state).finish();
-      this.#carry(self, other, asked.length, () => {
+      const request = GatewayState.encode(state).finish();
+      this.#deliver(self, other, request.length, () => {
         const receiver = this.#receivers.get(to);
-        const reply = receiver?.onPull(GatewayState.decode(asked));
+        const reply = receiver?.onPull(GatewayState.decode(request));
         if (reply) {
-          const told = GatewayState.encode(reply).finish();
-          this.#carry(other, self, told.length, () => {
-            resolve(GatewayState.decode(told));
+          const bytes = GatewayState.encode(reply).finish();
+          this.#deliver(other, self, bytes.length, () => {
+            resolve(GatewayState.decode(bytes));
           });
         }
       });
     });
   }
 
-  /** Does something at an instance when so many bytes have reached it. */
-  #carry(
+  /** Runs a callback at an instance once a number of bytes have reached it. */
+  #deliver(
     from: VirtualPeer,
     to: VirtualPeer,
     bytes: number,
     run: () => void,
   ): void {
-    const arrivesMs = from.link.sendTo(to.link, bytes, WAY_MS);
+    const arrivesMs = from.link.sendTo(to.link, bytes, ONE_WAY_MS);
     this.time.after(arrivesMs, run, to.process, 'read');
   }
 }
--- a/packages/gateway/tests/helpers/VirtualStore.ts
+++ b/packages/gateway/tests/helpers/VirtualStore.ts
@@ -10,45 +10,48 @@
 import { VirtualLink } from './VirtualLink.js';
 import type { VirtualProcess, VirtualTime } from './VirtualTime.js';
 
-/** One way between an instance and the store. */
-const WAY_MS = 1;
-/** Time in which the store does what it is asked. */
-const WORK_MS = 4;
+/** Network delay between an instance and the store, in one direction. */
+const ONE_WAY_MS = 1;
+/** Time that the store takes for a call. */
+const SERVICE_TIME_MS = 4;
 
-/** What the store's clock shows when the others begin. */
-const STARTED_MS = 5_000_000;
+/** Reading of the store's clock when virtual time starts. */
+const INITIAL_STORE_MS = 5_000_000;
 
-/** A leave of a replica that the store has acknowledged. */
-export interface Leave {
+/**
+ * An entry by which a replica announced that it leaves, as acknowledged by the store.
+ */
+export interface AcknowledgedLeave {
   readonly id: BackendServerId;
   readonly atMs: number;
 }
 
-/** Bytes of a call, and of an answer without its rows. */
+/** Size of a call, and of an answer without its rows. */
 const CALL_BYTES = 300;
-/** Bytes of an entry in an answer. */
+/** Size of a replica entry in an answer. */
 const ROW_BYTES = 300;
-/** Content lies in rows as base64. */
-const BASE64_SHARE = 4 / 3;
+/** Growth of the content by base64, in which rows hold it. */
+const BASE64_RATIO = 4 / 3;
 
 /** A client of the store. */
-export interface StoreCaller {
+export interface VirtualStoreClient {
   readonly process: VirtualProcess;
   readonly link: VirtualLink;
 }
 
-interface Waiting {
+/** A watch that waits for a configuration. */
+interface PendingWatch {
   readonly answer: () => void;
 }
 
-/** A store of replicas and the configuration, on virtual time. */
+/** A store of replica entries and the configuration, in virtual time. */
 export class VirtualStore {
   readonly #rows = new Map<string, ReplicaRow>();
   readonly #link: VirtualLink;
-  readonly leaves: Leave[] = [];
-  #waiting: Waiting[] = [];
+  readonly leaves: AcknowledgedLeave[] = [];
+  #pendingWatches: PendingWatch[] = [];
   #version = 1;
-  #configuredAt = 1;
+  #configurationVersion = 1;
   calls = 0;
 
   constructor(
@@ -58,6 +61,7 @@
     this.#link = new VirtualLink(time, Infinity);
   }
 
+  /** Writes the entry of a replica. */
   put(replica: Replica): void {
     this.#version += 1;
     this.#rows.set(replica.id, {
@@ -70,36 +74,41 @@
     }
   }
 
+  /** Removes the entry of a replica. */
   remove(id: BackendServerId): void {
     this.#version += 1;
     this.#rows.set(id, { id, rowVersion: this.#version, replica: null });
   }
 
-  /** Puts a configuration; whoever watches it is told at once. */
+  /** Writes a configuration, and answers pending watches immediately. */
   configure(cfg: RoutingConfiguration): void {
     this.#version += 1;
-    this.#configuredAt = this.#version;
+    this.#configurationVersion = this.#version;
     this.configuration = cfg;
-    const waiting = this.#waiting;
-    this.#waiting = [];
+    const waiting = this.#pendingWatches;
+    this.#pendingWatches = [];
     waiting.forEach(({ answer }) => {
       answer();
     });
   }
 
-  /** The store as one instance sees it. */
-  seenBy({ process, link }: StoreCaller): DiscoveryStore {
-    /** Sends a call, lets the store work, and sends what it answers. */
-    const ask = <Answer>(
-      work: (answer: () => void) => void,
+  /** @returns the store as a client reaches it over the network */
+  connect({ process, link }: VirtualStoreClient): DiscoveryStore {
+    /** Sends a call, waits until the store has handled it, and sends the answer. */
+    const call = <Answer>(
+      handle: (answer: () => void) => void,
       answerOf: () => { readonly answer: Answer; readonly bytes: number },
     ) =>
       new Promise<Answer>(resolve => {
         this.calls += 1;
-        this.time.after(link.sendTo(this.#link, CALL_BYTES, WAY_MS), () => {
-          work(() => {
+        this.time.after(link.sendTo(this.#link, CALL_BYTES, ONE_WAY_MS), () => {
+          handle(() => {
             const { answer, bytes } = answerOf();
-            const backMs = this.#link.sendTo(link, CALL_BYTES + bytes, WAY_MS);
+            const backMs = this.#link.sendTo(
+              link,
+              CALL_BYTES + bytes,
+              ONE_WAY_MS,
+            );
             this.time.after(
               backMs,
               () => {
@@ -111,58 +120,66 @@
           });
         });
       });
-    const atOnce = (answer: () => void): void => {
-      this.time.after(WORK_MS, answer);
+    const immediately = (answer: () => void): void => {
+      this.time.after(SERVICE_TIME_MS, answer);
     };
     const whole = () => ({
-      answer: { configuration: this.configuration, ...this.#state },
-      bytes: BASE64_SHARE * JSON.stringify(this.configuration).length,
+      answer: { configuration: this.configuration, ...this.#versionAndClock },
+      bytes: BASE64_RATIO * JSON.stringify(this.configuration).length,
     });
     const entries = (after: number) => {
       const rows = [...this.#rows.values()].filter(
         ({ rowVersion }) => rowVersion > after,
       );
       return {
-        answer: { rows, ...this.#state },
+        answer: { rows, ...this.#versionAndClock },
         bytes: ROW_BYTES * rows.length,
       };
     };
     return {
-      readConfiguration: () => ask(atOnce, whole),
+      readConfiguration: () => call(immediately, whole),
       watchConfiguration: (after, waitMs) =>
-        ask<ConfigurationRead>(
+        call<ConfigurationRead>(
           answer => {
-            if (this.#configuredAt > after || waitMs === 0) {
-              atOnce(answer);
+            if (this.#configurationVersion > after || waitMs === 0) {
+              immediately(answer);
               return;
             }
-            this.#wait(answer, waitMs);
+            this.#addWatch(answer, waitMs);
           },
           () =>
-            this.#configuredAt > after
+            this.#configurationVersion > after
               ? whole()
-              : { answer: { configuration: null, ...this.#state }, bytes: 0 },
+              : {
+                  answer: { configuration: null, ...this.#versionAndClock },
+                  bytes: 0,
+                },
         ),
-      readReplicas: () => ask(atOnce, () => entries(0)),
-      changedReplicas: after => ask(atOnce, () => entries(after)),
+      readReplicas: () => call(immediately, () => entries(0)),
+      changedReplicas: after => call(immediately, () => entries(after)),
       announce: () => Promise.resolve(),
       listInstances: () => Promise.resolve([]),
       close: () => undefined,
     };
   }
 
-  #wait(answer: () => void, waitMs: number): void {
+  #addWatch(answer: () => void, waitMs: number): void {
     const waiting = { answer };
-    this.#waiting.push(waiting);
+    this.#pendingWatches.push(waiting);
     this.time.after(waitMs, () => {
-      if (this.#waiting.includes(waiting)) {
-        this.#waiting = this.#waiting.filter(other => other !== waiting);
+      if (this.#pendingWatches.includes(waiting)) {
+        this.#pendingWatches = this.#pendingWatches.filter(
+          other => other !== waiting,
+        );
         answer();
       }
     });
   }
 
-  get #state() {
-    return { version: this.#version, storeMs: STARTED_MS + this.time.nowMs };
+  get #versionAndClock() {
+    return {
+      version: this.#version,
+      storeMs: INITIAL_STORE_MS + this.time.nowMs,
+    };
   }
 }
--- a/packages/gateway/tests/helpers/timersOn.ts
+++ b/packages/gateway/tests/helpers/createVirtualTimers.ts
@@ -1,8 +1,11 @@
 import type { Timers } from '../../src/ports/Timers.js';
 import type { VirtualProcess, VirtualTime } from './VirtualTime.js';
 
-/** Timers of one process on virtual time. */
-export function timersOn(time: VirtualTime, process: VirtualProcess): Timers {
+/** @returns the timers of one process, in virtual time */
+export function createVirtualTimers(
+  time: VirtualTime,
+  process: VirtualProcess,
+): Timers {
   return {
     after: (ms, run) => time.after(ms, run, process),
     every: (ms, run) => {
--- a/packages/gateway/tests/helpers/virtualDeployment.ts
+++ b/packages/gateway/tests/helpers/virtualDeployment.ts
@@ -15,7 +15,7 @@
 
 import { createContext } from '../../src/createContext.js';
 import type { GatewayContext } from '../../src/GatewayContext.js';
-import { timersOn } from './timersOn.js';
+import { createVirtualTimers } from './createVirtualTimers.js';
 import type { VirtualProcess, VirtualTime } from './VirtualTime.js';
 
 export const SERVICE = brand<ServiceId>('stock');
@@ -37,33 +37,35 @@
   shares: [{ service: SERVICE, weight: 1 }],
 };
 
-/** Names that look drawn, so that they compress like an operator's. */
-function nameOf(index: number): string {
+/**
+ * @returns a random-looking name, which compresses about as well as an operator's names
+ */
+function pseudoRandomName(index: number): string {
   return murmurhash.v3(`route ${index}`).toString(36);
 }
 
-function routeNumber(index: number, timeoutMs: number): Route {
-  const name = nameOf(index);
+function createRoute(index: number, timeoutMs: number): Route {
+  const name = pseudoRandomName(index);
   return {
     ...ROUTE,
     id: brand<RouteId>(`r-${name}`),
-    prefix: `/${nameOf(index + 0.5)}/`,
+    prefix: `/${pseudoRandomName(index + 0.5)}/`,
     timeoutMs,
   };
 }
 
 /**
- * A configuration that differs from the one before in one route.
+ * Creates a configuration; two consecutive versions differ in one route.
  *
- * @param version - of it
- * @param routes - that it has
+ * @param version - version of the configuration
+ * @param routes - number of its routes
  */
-export function configurationWith(
+export function createConfiguration(
   version: number,
   routes: number,
 ): RoutingConfiguration {
   const others = Array.from({ length: routes - 1 }, (_, index) =>
-    routeNumber(index, TIME_LIMIT_MS + (index === 0 ? version : 0)),
+    createRoute(index, TIME_LIMIT_MS + (index === 0 ? version : 0)),
   );
   return {
     version,
@@ -79,7 +81,8 @@
   };
 }
 
-export function replicaNamed(name: string, leaving = false): Replica {
+/** @returns a replica of the service, at a fixed address */
+export function createReplica(name: string, leaving = false): Replica {
   return {
     id: brand<BackendServerId>(name),
     service: SERVICE,
@@ -92,12 +95,13 @@
   };
 }
 
-/** Where other instances reach one. */
+/** @returns the address at which other instances reach an instance */
 export function peerAddressOf(instance: string): string {
   return `${instance}:2`;
 }
 
-export function toListed(instance: string): ListedMember {
+/** @returns an instance as the store lists it */
+export function createListedMember(instance: string): ListedMember {
   return {
     id: brand<InstanceId>(instance),
     failureDomain: DOMAIN,
@@ -107,28 +111,29 @@
   };
 }
 
-/** What an instance needs to take part in the duties of a fleet. */
-export interface VirtualDutyParts {
+/** Options of an instance in a fleet that has duties. */
+export interface VirtualDutyOptions {
   readonly settings: DutySettings;
+  /** Start time of the process, in Unix milliseconds. */
   readonly startedMs: number;
   readonly timeOfDay: () => number;
 }
 
 /**
- * The context of an instance on virtual time, which knows nothing yet.
+ * Creates the context of an instance in virtual time, without any state.
  *
- * @param instance - its name
- * @param freshWithinMs - time in which changes must be in force
- * @param time - the clock of all
- * @param process - that it runs in
- * @param duties - that the fleet has; null for none
+ * @param instance - name of the instance
+ * @param freshWithinMs - time within which changes must take effect, in milliseconds
+ * @param time - the clock of all instances
+ * @param process - process that the instance runs in
+ * @param duties - options for duties; null if the fleet has none
  */
-export function virtualContext(
+export function createVirtualContext(
   instance: string,
   freshWithinMs: number,
   time: VirtualTime,
   process: VirtualProcess,
-  duties: VirtualDutyParts | null = null,
+  duties: VirtualDutyOptions | null = null,
 ): GatewayContext {
   return createContext(
     {
@@ -149,11 +154,12 @@
       logLevel: 'info',
     },
     {
-      // Requests are placed here, not carried, so nothing is read or written.
+      // Requests are only placed and never forwarded, so no headers are read or
+      // written.
       dialect: null as never,
       log: SILENT_LOG,
       clock: () => time.nowMs,
-      timers: timersOn(time, process),
+      timers: createVirtualTimers(time, process),
       startedMs: duties?.startedMs ?? 1,
       ...(duties ? { timeOfDay: duties.timeOfDay } : {}),
     },
