--- a/packages/instance/src/InstanceContext.ts
+++ b/packages/instance/src/InstanceContext.ts
@@ -11,7 +11,10 @@
 import type { ConfigurationSync } from './state/ConfigurationSync.js';
 import type { ShareLoop } from './state/ShareLoop.js';
 
-/** Everything that the controllers of one instance share. */
+/**
+ * State and services shared by the HTTP controllers and gRPC handlers of one
+ * instance.
+ */
 export interface InstanceContext {
   readonly settings: InstanceSettings;
   readonly host: RouterHost;
@@ -21,15 +24,21 @@
   readonly store: ConfigurationStore;
   readonly sync: ConfigurationSync;
   readonly claims: ClaimBook;
-  /** Writes claims of this instance and, as a collector, of others. */
+  /**
+   * Writes claims of this instance and, if it is a collector, those of other
+   * instances.
+   */
   readonly batcher: WriteBatcher;
   readonly shares: ShareLoop;
   readonly log: EventLog;
-  /** Whether this instance may not know the whole fleet yet. */
-  readonly isYoung: () => boolean;
-  /** Whether a stop was asked for. */
+  /**
+   * Whether this instance started so recently that it may not know all members
+   * yet.
+   */
+  readonly isJoining: () => boolean;
+  /** Set once a graceful stop has begun. */
   leaving: boolean;
 }
 
-/** Injection token of the context. */
+/** Nest injection token of the {@link InstanceContext}. */
 export const CONTEXT = Symbol('InstanceContext');
--- a/packages/instance/src/claims/ClaimBook.ts
+++ b/packages/instance/src/claims/ClaimBook.ts
@@ -4,61 +4,70 @@
 
 import type { WriteOutcome } from './WriteBatcher.js';
 
-/** A reply as it is kept for repeats. */
+/** A reply stored to answer repeats of the request. */
 export interface StoredReply {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly bodyBase64: string;
 }
 
-/** Row that stands for one non-idempotent request. */
+/** Table row that records one non-idempotent request. */
 interface Claim {
-  /** Unique per attempt to claim, so that a lost reply can be settled. */
+  /**
+   * Unique id of the claiming request; identifies its claim when the table's
+   * reply was lost.
+   */
   readonly owner: string;
   readonly state: 'claimed' | 'done';
   readonly reply: StoredReply | null;
 }
 
-/** Outcome of a claim. */
+/** Outcome of an attempt to claim a key. */
 export type ClaimResult =
   | { readonly kind: 'claimed' }
   | { readonly kind: 'done'; readonly reply: StoredReply | null }
   | { readonly kind: 'inProgress' };
 
-/** Writes a claim row if its condition holds. */
+/** Writes a claim row if its version condition holds. */
 export type ClaimWriter = (write: TableWrite) => Promise<WriteOutcome>;
 
-interface Abandoned {
-  readonly row: string;
+/** A claim that may have been written although its request was refused. */
+interface UnconfirmedClaim {
+  readonly rowKey: string;
   readonly owner: string;
-  readonly sinceMs: number;
+  readonly refusedAtMs: number;
 }
 
-const RELEASE_EVERY_MS = 5000;
-/** A write that is still under way somewhere has landed or failed by then. */
-const ABANDONED_MS = 60_000;
-const MAX_KEPT_BYTES = 8192;
+const RELEASE_INTERVAL_MS = 5000;
+/**
+ * By this age, a claim write that was still in flight has been applied or has
+ * failed.
+ */
+const UNCONFIRMED_TTL_MS = 60_000;
+/** Largest reply body that is stored for repeats, in base64 characters. */
+const MAX_STORED_BODY_CHARACTERS = 8192;
 const RETRY_AFTER_MS = 1000;
 
 const keyOf = (organisation: OrganisationId, key: IdempotencyKey): string =>
   `claim/${organisation}/${key}`;
 
 /**
- * Claims for non-idempotent requests, recorded in the platform's table before
- * anything is sent to a backend server.
+ * Records claims of idempotency keys in the platform's table before a
+ * non-idempotent request is sent to a backend server.
  *
- * The table's compare-and-set decides who may run a key, whichever instances
- * the repeats reach. See docs/design/at-most-once.md.
+ * The table's compare-and-set decides which request may run under a key, no
+ * matter which instances receive repeats of it. See
+ * docs/design/at-most-once.md.
  */
 export class ClaimBook {
-  /** Claims of unknown fate whose requests were refused, to be given back. */
-  readonly #abandoned = new Set<Abandoned>();
-  #timer: NodeJS.Timeout | null = null;
+  /** Possibly written claims of refused requests, to be released. */
+  readonly #unconfirmed = new Set<UnconfirmedClaim>();
+  #releaseTimer: NodeJS.Timeout | null = null;
 
   /**
-   * @param table - where claims are read
-   * @param write - writes one row, here or at a collector
-   * @param clock - present time in milliseconds
+   * @param table - table that holds the claims
+   * @param write - writes one claim row, directly or through a collector
+   * @param clock - current time in milliseconds
    */
   constructor(
     private readonly table: Pick<TableStore, 'get' | 'transact'>,
@@ -66,28 +75,29 @@
     private readonly clock: () => number,
   ) {}
 
-  /** Gives abandoned claims back from time to time. */
+  /** Starts the periodic release of unconfirmed claims. */
   start(): void {
-    this.#timer = setInterval(() => {
-      this.releaseAbandoned().catch(() => undefined);
-    }, RELEASE_EVERY_MS);
+    this.#releaseTimer = setInterval(() => {
+      this.releaseUnconfirmed().catch(() => undefined);
+    }, RELEASE_INTERVAL_MS);
   }
 
   stop(): void {
-    if (this.#timer) {
-      clearInterval(this.#timer);
+    if (this.#releaseTimer) {
+      clearInterval(this.#releaseTimer);
     }
   }
 
   /**
-   * Claims a key for this request.
+   * Claims an idempotency key for one request.
    *
-   * @param organisation - whose key it is
-   * @param key - idempotency key of the caller
-   * @param owner - unique id of this very request
-   * @returns whether it may run, already ran, or may be running elsewhere
-   * @throws RouterError `claimUnavailable` when the table did not confirm; the
-   *   request must not be sent on and has certainly not run
+   * @param organisation - organisation of the caller
+   * @param key - idempotency key sent by the caller
+   * @param owner - unique id of the request
+   * @returns whether the request may run, already ran, or may be running
+   *   elsewhere
+   * @throws RouterError `claimUnavailable` if the table did not confirm the
+   *   claim; the request has not run and must not be forwarded
    */
   async claim(
     organisation: OrganisationId,
@@ -102,25 +112,30 @@
         value: claim,
         ifVersion: 0,
       });
-      return this.#judge(conflict, owner);
+      return this.#toResult(conflict, owner);
     } catch {
-      return this.#settle(row, owner);
+      return this.#resolveUnconfirmed(row, owner);
     }
   }
 
-  /** Keeps the reply for repeats; failing to do so is safe, repeats stay refused. */
+  /**
+   * Marks the request as done and stores its reply unless that is too large.
+   *
+   * A failed write is safe: the claim remains and repeats are refused.
+   */
   async complete(
     organisation: OrganisationId,
     key: IdempotencyKey,
     owner: string,
     reply: StoredReply,
   ): Promise<void> {
-    const kept = reply.bodyBase64.length <= MAX_KEPT_BYTES ? reply : null;
+    const kept =
+      reply.bodyBase64.length <= MAX_STORED_BODY_CHARACTERS ? reply : null;
     const claim: Claim = { owner, state: 'done', reply: kept };
     await this.write({ key: keyOf(organisation, key), value: claim });
   }
 
-  /** Gives a claim back, because its request certainly did not run. */
+  /** Releases the claim of a request that did not run. */
   async release(
     organisation: OrganisationId,
     key: IdempotencyKey,
@@ -128,28 +143,29 @@
     await this.write({ key: keyOf(organisation, key), value: null });
   }
 
-  /** Gives back claims whose fate was unknown when their requests were refused. */
-  async releaseAbandoned(): Promise<void> {
-    const entries = [...this.#abandoned];
-    await Promise.all(entries.map(entry => this.#giveBack(entry)));
+  /** Releases claims that were unconfirmed when their requests were refused. */
+  async releaseUnconfirmed(): Promise<void> {
+    const entries = [...this.#unconfirmed];
+    await Promise.all(entries.map(entry => this.#releaseIfOwned(entry)));
   }
 
-  async #giveBack(entry: Abandoned): Promise<void> {
-    const { row, owner, sinceMs } = entry;
-    const found = await this.table.get(row);
+  async #releaseIfOwned(entry: UnconfirmedClaim): Promise<void> {
+    const { rowKey, owner, refusedAtMs } = entry;
+    const found = await this.table.get(rowKey);
     const isOwn = (found?.value as Claim | undefined)?.owner === owner;
     if (found && isOwn) {
       await this.table.transact([
-        { key: row, value: null, ifVersion: found.version },
+        { key: rowKey, value: null, ifVersion: found.version },
       ]);
     }
-    // A row that is not there yet may still come: its write can be late.
-    if (isOwn || this.clock() - sinceMs > ABANDONED_MS) {
-      this.#abandoned.delete(entry);
+    // If there is no row of this owner yet, a delayed write may still create
+    // it.
+    if (isOwn || this.clock() - refusedAtMs > UNCONFIRMED_TTL_MS) {
+      this.#unconfirmed.delete(entry);
     }
   }
 
-  #judge(conflict: WriteOutcome, owner: string): ClaimResult {
+  #toResult(conflict: WriteOutcome, owner: string): ClaimResult {
     if (conflict === undefined) {
       return { kind: 'claimed' };
     }
@@ -163,20 +179,23 @@
   }
 
   /**
-   * Finds out whether a claim took effect although its reply was lost: the row
-   * carries the owner, which no other request has. If the table cannot be read
-   * either, the request is refused and the claim given back later.
+   * Determines by a read whether a claim was written although the write failed.
+   *
+   * The row carries its owner, which is unique to the request. If there is no
+   * row or the read fails too, the request is refused and the claim is released
+   * later.
    */
-  async #settle(row: string, owner: string): Promise<ClaimResult> {
+  async #resolveUnconfirmed(row: string, owner: string): Promise<ClaimResult> {
     try {
       const found = await this.table.get(row);
       if (found) {
-        return this.#judge(found, owner);
+        return this.#toResult(found, owner);
       }
     } catch {
-      // Falls through to the refusal below: the fate stays unknown.
+      // It stays unknown whether the claim was written; the request is refused
+      // below.
     }
-    this.#abandoned.add({ row, owner, sinceMs: this.clock() });
+    this.#unconfirmed.add({ rowKey: row, owner, refusedAtMs: this.clock() });
     throw routerError(
       'claimUnavailable',
       'The table store did not confirm the claim for the idempotency key.',
--- a/packages/instance/src/claims/ClaimCollectors.ts
+++ b/packages/instance/src/claims/ClaimCollectors.ts
@@ -6,18 +6,20 @@
 import type { PeerConnections } from '../state/PeerConnections.js';
 import type { WriteBatcher, WriteOutcome } from './WriteBatcher.js';
 
-/** Instances that write claims for the whole fleet. */
-const COLLECTORS = 16;
-/** Transactions a second that claims of the whole fleet may cost the table. */
-const CLAIM_WRITES_PER_SECOND = 200;
-const MIN_PACE_MS = 10;
+/** Number of instances that write claims on behalf of the whole fleet. */
+const COLLECTOR_COUNT = 16;
+/** Limit of claim transactions per second, over the whole fleet. */
+const MAX_TRANSACTIONS_PER_SECOND = 200;
+const MIN_BATCH_PAUSE_MS = 10;
 const MS_PER_SECOND = 1000;
 
 /**
- * Sends claims to a few instances that put them into shared transactions.
+ * Forwards claims to a few collector instances that batch them into shared
+ * transactions.
  *
- * The table alone decides who may run a key, so a collector that is wrong,
- * doubled or gone does no harm: its callers find out by reading the row.
+ * Only the table decides which request may run under a key. It is therefore
+ * harmless if instances disagree about the collector of a key or if a collector
+ * fails: the instance that asked for the claim reads the row to find out.
  */
 export class ClaimCollectors {
   constructor(
@@ -26,21 +28,27 @@
     private readonly batcher: () => WriteBatcher,
   ) {}
 
-  /** Pause between transactions of one collector, for the fleet as it is. */
-  paceMs(): number {
-    const collectors = Math.min(COLLECTORS, this.membership.instances.length);
+  /**
+   * Pause between the transactions of one collector at the current fleet size,
+   * in milliseconds.
+   */
+  batchPauseMs(): number {
+    const collectors = Math.min(
+      COLLECTOR_COUNT,
+      this.membership.instances.length,
+    );
     return Math.max(
-      MIN_PACE_MS,
-      (collectors / CLAIM_WRITES_PER_SECOND) * MS_PER_SECOND,
+      MIN_BATCH_PAUSE_MS,
+      (collectors / MAX_TRANSACTIONS_PER_SECOND) * MS_PER_SECOND,
     );
   }
 
   /**
-   * Writes one claim, here or at its collector.
+   * Writes one claim, locally or through its collector.
    *
-   * @param write - the row with its condition
-   * @returns undefined when written, else the row that stood in the way
-   * @throws Error when the fate of the write is unknown
+   * @param write - claim row with its version condition
+   * @returns undefined if the row was written, else the conflicting row
+   * @throws Error if it is unknown whether the row was written
    */
   async write(write: TableWrite): Promise<WriteOutcome> {
     const collector = this.#collectorOf(write.key);
@@ -50,16 +58,19 @@
       : this.batcher().write(write);
   }
 
-  /** A small fleet writes for itself: one hop less, and still within budget. */
+  /**
+   * In a small fleet each instance is its own collector: this saves a hop and
+   * keeps to the limit.
+   */
   #collectorOf(key: string): InstanceId {
     const instances = this.membership.instances;
-    if (instances.length <= COLLECTORS) {
+    if (instances.length <= COLLECTOR_COUNT) {
       return this.membership.self.instance;
     }
     const collectors = instances
       .map(id => ({ id, rank: murmurhash.v3(id) }))
       .sort((a, b) => a.rank - b.rank)
-      .slice(0, COLLECTORS);
+      .slice(0, COLLECTOR_COUNT);
     const chosen = collectors[murmurhash.v3(key) % collectors.length];
     return chosen?.id ?? this.membership.self.instance;
   }
--- a/packages/instance/src/claims/WriteBatcher.ts
+++ b/packages/instance/src/claims/WriteBatcher.ts
@@ -1,79 +1,89 @@
 import type { Row, TableStore, TableWrite } from '@jujubecroft/stores';
 
-/** The row that stood in the way of a write, or undefined when it was written. */
+/**
+ * Undefined if the write was applied, else the conflicting row (null if the row
+ * is absent).
+ */
 export type WriteOutcome = Row | null | undefined;
 
-interface Pending {
+interface PendingWrite {
   readonly write: TableWrite;
   readonly resolve: (outcome: WriteOutcome) => void;
   readonly reject: (err: unknown) => void;
 }
 
-const MAX_BATCH = 64;
+const MAX_BATCH_WRITES = 64;
 
 /**
- * Puts independent conditional writes into shared transactions.
+ * Batches independent conditional writes into shared transactions.
  *
- * One transaction is under way at a time; writes that come meanwhile share the
- * next one, so that their number is bounded by the pace, not by the demand.
+ * One transaction is in flight at a time. Writes that arrive meanwhile share
+ * the next one, so the pause bounds the transaction rate regardless of demand.
  */
 export class WriteBatcher {
-  readonly #pending: Pending[] = [];
-  #busy = false;
+  readonly #pending: PendingWrite[] = [];
+  #isFlushing = false;
 
   /**
-   * @param table - where the writes go
-   * @param paceMs - pause after each transaction
+   * @param table - table that is written to
+   * @param pauseMs - pause after each batch, in milliseconds
    */
   constructor(
     private readonly table: TableStore,
-    private readonly paceMs: () => number,
+    private readonly pauseMs: () => number,
   ) {}
 
   /**
    * Writes one row if its condition holds.
    *
-   * @param write - the row with its condition
-   * @returns undefined when written, else the row that stood in the way
-   * @throws RouterError `platformUnavailable` when its fate is unknown
+   * @param write - row with its version condition
+   * @returns undefined if the row was written, else the conflicting row
+   * @throws RouterError `platformUnavailable` if it is unknown whether the row
+   *   was written
    */
   write(write: TableWrite): Promise<WriteOutcome> {
     return new Promise((resolve, reject) => {
       this.#pending.push({ write, resolve, reject });
-      void this.#drain();
+      void this.#flush();
     });
   }
 
-  async #drain(): Promise<void> {
-    if (this.#busy) {
+  async #flush(): Promise<void> {
+    if (this.#isFlushing) {
       return;
     }
-    this.#busy = true;
+    this.#isFlushing = true;
     while (this.#pending.length > 0) {
       await this.#commit(this.#takeBatch());
-      await new Promise(resolve => setTimeout(resolve, this.paceMs()));
+      await new Promise(resolve => setTimeout(resolve, this.pauseMs()));
     }
-    this.#busy = false;
+    this.#isFlushing = false;
   }
 
-  /** Each key once, so that the writes of a batch do not meet each other. */
-  #takeBatch(): readonly Pending[] {
+  /**
+   * Takes at most one write per key, so that writes of a batch cannot conflict
+   * with each other.
+   */
+  #takeBatch(): readonly PendingWrite[] {
     const keys = new Set<string>();
     const batch = this.#pending
       .filter(({ write }) => {
-        const fresh = !keys.has(write.key);
+        const isFirst = !keys.has(write.key);
         keys.add(write.key);
-        return fresh;
+        return isFirst;
       })
-      .slice(0, MAX_BATCH);
+      .slice(0, MAX_BATCH_WRITES);
     const taken = new Set(batch);
     const rest = this.#pending.filter(pending => !taken.has(pending));
     this.#pending.splice(0, this.#pending.length, ...rest);
     return batch;
   }
 
-  /** Commits a batch; one that meets a conflict goes on without the loser. */
-  async #commit(batch: readonly Pending[]): Promise<void> {
+  /**
+   * Commits a batch; after a conflict, retries it without the conflicting
+   * write.
+   */
+  async #commit(batch: readonly PendingWrite[]): Promise<void> {
     if (batch.length === 0) {
       return;
     }
@@ -86,11 +96,12 @@
         return;
       }
       const { conflictKey, conflict } = result;
-      const lost = ({ write }: Pending): boolean => write.key === conflictKey;
-      batch.filter(lost).forEach(({ resolve }) => {
+      const isConflicting = ({ write }: PendingWrite): boolean =>
+        write.key === conflictKey;
+      batch.filter(isConflicting).forEach(({ resolve }) => {
         resolve(conflict);
       });
-      await this.#commit(batch.filter(pending => !lost(pending)));
+      await this.#commit(batch.filter(pending => !isConflicting(pending)));
     } catch (err) {
       batch.forEach(({ reject }) => {
         reject(err);
--- a/packages/instance/src/control/OperatorChanges.ts
+++ b/packages/instance/src/control/OperatorChanges.ts
@@ -7,19 +7,19 @@
 
 import type { InstanceContext } from '../InstanceContext.js';
 
-const MAX_CHANGE_ID = 128;
+const MAX_CHANGE_ID_LENGTH = 128;
 
-function checkedChangeId(changeId: string): string {
-  if (changeId === '' || changeId.length > MAX_CHANGE_ID) {
+function validateChangeId(changeId: string): string {
+  if (changeId === '' || changeId.length > MAX_CHANGE_ID_LENGTH) {
     throw routerError(
       'configInvalid',
-      `change_id must have 1 to ${MAX_CHANGE_ID} characters.`,
+      `change_id must have 1 to ${MAX_CHANGE_ID_LENGTH} characters.`,
     );
   }
   return changeId;
 }
 
-function checkedEntity(message: proto.Entity | undefined): Entity {
+function validateEntity(message: proto.Entity | undefined): Entity {
   const raw = fromProtoEntity(message);
   if (!raw) {
     throw routerError('configInvalid', 'entity is missing.');
@@ -31,15 +31,15 @@
   return result.entity;
 }
 
-function checkedKind(kind: proto.EntityKind): EntityKind {
-  const known = fromProtoKind(kind);
-  if (!known) {
+function validateKind(kind: proto.EntityKind): EntityKind {
+  const entityKind = fromProtoKind(kind);
+  if (!entityKind) {
     throw routerError('configInvalid', 'kind is missing.');
   }
-  return known;
+  return entityKind;
 }
 
-/** Turns operator calls into committed changes. */
+/** Validates configuration changes of operators and commits them. */
 export class OperatorChanges {
   constructor(private readonly context: InstanceContext) {}
 
@@ -47,9 +47,9 @@
     operator: string,
     req: proto.DeclareRequest,
   ): Promise<proto.ChangeReply> {
-    const entity = checkedEntity(req.entity);
+    const entity = validateEntity(req.entity);
     return this.#commit({
-      changeId: checkedChangeId(req.changeId),
+      changeId: validateChangeId(req.changeId),
       operator,
       atMs: Date.now(),
       action: 'declare',
@@ -64,9 +64,9 @@
     operator: string,
     req: proto.RemoveRequest,
   ): Promise<proto.ChangeReply> {
-    const kind = checkedKind(req.kind);
+    const kind = validateKind(req.kind);
     return this.#commit({
-      changeId: checkedChangeId(req.changeId),
+      changeId: validateChangeId(req.changeId),
       operator,
       atMs: Date.now(),
       action: 'remove',
@@ -82,10 +82,12 @@
     });
   }
 
-  /** Whoever drains means the server as it is, so no revision is asked for. */
+  /**
+   * Drains a backend server or undoes it, at whatever revision the server is.
+   */
   drain(operator: string, req: proto.DrainRequest): Promise<proto.ChangeReply> {
     return this.#commit({
-      changeId: checkedChangeId(req.changeId),
+      changeId: validateChangeId(req.changeId),
       operator,
       atMs: Date.now(),
       action: 'drain',
--- a/packages/instance/src/control/OperatorViews.ts
+++ b/packages/instance/src/control/OperatorViews.ts
@@ -24,7 +24,7 @@
   ];
 }
 
-const json = (entity: Entity | null): string =>
+const toEntityJson = (entity: Entity | null): string =>
   entity ? JSON.stringify(entity) : '';
 
 function toAuditMessage(entry: AuditEntry): proto.AuditEntry {
@@ -36,30 +36,35 @@
     action: entry.action,
     kind: toProtoKind(entry.entityKind),
     id: entry.entityId,
-    beforeJson: json(entry.before),
-    afterJson: json(entry.after),
+    beforeJson: toEntityJson(entry.before),
+    afterJson: toEntityJson(entry.after),
   };
 }
 
-/** The message of a decision, its numbers in JSON. */
+/**
+ * Converts a decision event to its message.
+ *
+ * @param event - the event
+ * @returns the message; fields specific to the kind of decision are in JSON
+ */
 export function toDecisionMessage(event: DecisionEvent): proto.DecisionEvent {
   const { decision, ...base } = event;
   const { kind, ...detail } = decision;
   return { ...base, kind, detailJson: JSON.stringify(detail) };
 }
 
-/** What operators can read from one instance. */
+/** Read-only calls of the operator service. */
 export class OperatorViews {
   constructor(private readonly context: InstanceContext) {}
 
   async list(req: proto.ListRequest): Promise<proto.ListReply> {
     const cfg = this.context.host.configuration;
     const kind = fromProtoKind(req.kind);
-    const wanted = entitiesOf(cfg).filter(
+    const selected = entitiesOf(cfg).filter(
       entity => kind === undefined || entity.kind === kind,
     );
     const entities = await Promise.all(
-      wanted.map(async entity => {
+      selected.map(async entity => {
         const stored = await this.context.store.readEntity(
           entity.kind,
           entity.id,
--- a/packages/instance/src/control/authenticate.ts
+++ b/packages/instance/src/control/authenticate.ts
@@ -6,12 +6,12 @@
 const BEARER = /^Bearer (.+)$/i;
 
 /**
- * Finds the operator that a call comes from.
+ * Authenticates an operator by the bearer token of a call.
  *
- * @param metadata - of the call
- * @param operators - from the settings
+ * @param metadata - metadata of the call
+ * @param operators - operators from the settings
  * @returns the operator's name, for the audit trail
- * @throws RouterError `operatorUnknown`
+ * @throws RouterError `operatorUnknown` if no operator has this token
  */
 export function authenticate(
   metadata: Metadata,
--- a/packages/instance/src/control/operatorHandlers.ts
+++ b/packages/instance/src/control/createOperatorHandlers.ts
@@ -3,22 +3,25 @@
 
 import type { InstanceContext } from '../InstanceContext.js';
 import { authenticate } from './authenticate.js';
-import { grpcError } from './grpcError.js';
+import { toGrpcError } from './toGrpcError.js';
 import { OperatorChanges } from './OperatorChanges.js';
 import { OperatorViews, toDecisionMessage } from './OperatorViews.js';
 
-/** Watchers that read slower than this many waiting events lose some. */
-const MAX_BUFFERED_BYTES = 1_048_576;
+/**
+ * Events buffered for one watcher; further ones are dropped until it has read
+ * some.
+ */
+const MAX_BUFFERED_EVENTS = 1_048_576;
 
 type Handler<Req, Res> = (operator: string, req: Req) => Promise<Res> | Res;
 
 /**
  * Creates the handlers of the operator service.
  *
- * @param context - of the instance
- * @returns handlers that authenticate each call first
+ * @param context - context of the instance
+ * @returns handlers that authenticate each call before running it
  */
-export function operatorHandlers(
+export function createOperatorHandlers(
   context: InstanceContext,
 ): proto.OperatorServer {
   const { operators } = context.settings;
@@ -36,7 +39,7 @@
         },
         (err: unknown) => {
           context.log.write('changeRefused', { reason: String(err) });
-          callback(grpcError(err));
+          callback(toGrpcError(err));
         },
       );
     };
@@ -48,11 +51,11 @@
     try {
       authenticate(call.metadata, operators);
     } catch (err) {
-      call.emit('error', grpcError(err));
+      call.emit('error', toGrpcError(err));
       return;
     }
     const stop = context.feed.watch(call.request, event => {
-      if (call.writableLength < MAX_BUFFERED_BYTES) {
+      if (call.writableLength < MAX_BUFFERED_EVENTS) {
         call.write(toDecisionMessage(event));
       }
     });
--- a/packages/instance/src/control/peerCredentials.ts
+++ b/packages/instance/src/control/createPeerCredentials.ts
@@ -4,12 +4,12 @@
 import type { InstanceSettings } from '@jujubecroft/settings';
 
 /**
- * Credentials for calls to other instances.
+ * Creates the credentials for calls to other instances.
  *
- * @param tls - files of the mutual TLS, or undefined for plain connections
+ * @param tls - certificate files for mutual TLS; undefined for plaintext
  * @returns credentials for the gRPC library
  */
-export function peerCredentials(
+export function createPeerCredentials(
   tls: InstanceSettings['controlTls'],
 ): ChannelCredentials {
   return tls
--- a/packages/instance/src/control/peerHandlers.ts
+++ b/packages/instance/src/control/createPeerHandlers.ts
@@ -8,15 +8,17 @@
 } from '@jujubecroft/operator';
 
 import type { InstanceContext } from '../InstanceContext.js';
-import { grpcError } from './grpcError.js';
+import { toGrpcError } from './toGrpcError.js';
 
 const PROBE_TIMEOUT_MS = 700;
 
-/** Whether an instance accepts connections on its control address. */
-function canConnect(address: string): Promise<boolean> {
-  const split = address.lastIndexOf(':');
-  const host = address.slice(0, split);
-  const port = Number(address.slice(split + 1));
+/**
+ * Checks whether an instance accepts TCP connections on its control address.
+ */
+function isReachable(address: string): Promise<boolean> {
+  const colon = address.lastIndexOf(':');
+  const host = address.slice(0, colon);
+  const port = Number(address.slice(colon + 1));
   return new Promise(resolve => {
     const socket = connect({ host, port, timeout: PROBE_TIMEOUT_MS });
     const finish = (reachable: boolean): void => {
@@ -36,12 +38,12 @@
 }
 
 /**
- * Creates the handlers of calls between instances.
+ * Creates the handlers of the peer service, which instances call on each other.
  *
- * @param context - of the instance
+ * @param context - context of the instance
  * @returns the handlers
  */
-export function peerHandlers(context: InstanceContext): proto.PeerServer {
+export function createPeerHandlers(context: InstanceContext): proto.PeerServer {
   const { host, membership } = context;
 
   const heartbeat: handleUnaryCall<
@@ -60,12 +62,12 @@
     call,
     callback,
   ) => {
-    canConnect(call.request.peerAddress).then(
+    isReachable(call.request.peerAddress).then(
       reachable => {
         callback(null, { reachable });
       },
       (err: unknown) => {
-        callback(grpcError(err));
+        callback(toGrpcError(err));
       },
     );
   };
@@ -75,10 +77,10 @@
     proto.ConfigurationReply
   > = (call, callback) => {
     const cfg = host.configuration;
-    const newer = cfg.revision > call.request.afterRevision;
+    const isNewer = cfg.revision > call.request.afterRevision;
     callback(null, {
       revision: cfg.revision,
-      configurationJson: newer ? JSON.stringify(cfg) : '',
+      configurationJson: isNewer ? JSON.stringify(cfg) : '',
     });
   };
 
@@ -107,7 +109,7 @@
           callback(null, { written, conflictJson });
         },
         (err: unknown) => {
-          callback(grpcError(err));
+          callback(toGrpcError(err));
         },
       );
   };
--- a/packages/instance/src/control/startControlServer.ts
+++ b/packages/instance/src/control/startControlServer.ts
@@ -8,12 +8,12 @@
 import type { InstanceSettings } from '@jujubecroft/settings';
 
 import type { InstanceContext } from '../InstanceContext.js';
-import { operatorHandlers } from './operatorHandlers.js';
-import { peerHandlers } from './peerHandlers.js';
+import { createOperatorHandlers } from './createOperatorHandlers.js';
+import { createPeerHandlers } from './createPeerHandlers.js';
 
 type ControlTls = InstanceSettings['controlTls'];
 
-function serverCredentials(tls: ControlTls): ServerCredentials {
+function createServerCredentials(tls: ControlTls): ServerCredentials {
   if (!tls) {
     return ServerCredentials.createInsecure();
   }
@@ -24,7 +24,7 @@
   return ServerCredentials.createSsl(readFileSync(tls.caFile), [pair], true);
 }
 
-/** A gRPC server that was started. */
+/** A listening gRPC server. */
 export interface RunningControlServer {
   readonly port: number;
   readonly stop: () => void;
@@ -33,17 +33,17 @@
 /**
  * Starts the gRPC server for operators and other instances.
  *
- * @param context - of the instance
- * @returns the server with the port that it took
+ * @param context - context of the instance
+ * @returns the server and the port it listens on
  */
 export async function startControlServer(
   context: InstanceContext,
 ): Promise<RunningControlServer> {
   const { control, controlTls } = context.settings;
   const server = new Server();
-  server.addService(OperatorService, operatorHandlers(context));
-  server.addService(PeerService, peerHandlers(context));
-  const creds = serverCredentials(controlTls);
+  server.addService(OperatorService, createOperatorHandlers(context));
+  server.addService(PeerService, createPeerHandlers(context));
+  const creds = createServerCredentials(controlTls);
   const address = `${control.host}:${control.port}`;
   const port = await bindServer(server, address, creds);
   return {
--- a/packages/instance/src/control/grpcError.ts
+++ b/packages/instance/src/control/toGrpcError.ts
@@ -12,12 +12,12 @@
 };
 
 /**
- * Turns anything thrown into a failed call with its result code.
+ * Converts any thrown value to a gRPC error that carries its result code.
  *
- * @param thrown - whatever was caught
- * @returns the error for the gRPC library
+ * @param thrown - the caught value
+ * @returns error for the gRPC library, with `result-code` and `ran` as metadata
  */
-export function grpcError(thrown: unknown): ServiceError {
+export function toGrpcError(thrown: unknown): ServiceError {
   const err = toRouterError(thrown);
   const metadata = new Metadata();
   metadata.set('result-code', String(RESULT_CODES[err.code].number));
--- a/packages/instance/src/host/DecisionFeed.ts
+++ b/packages/instance/src/host/DecisionFeed.ts
@@ -1,6 +1,9 @@
 import type { DecisionEvent } from '@jujubecroft/types';
 
-/** Which decisions a watcher wants; empty fields match everything. */
+/**
+ * Selects the decisions that a watcher receives; an empty field matches any
+ * value.
+ */
 export interface DecisionFilter {
   readonly requestClass: string;
   readonly organisation: string;
@@ -14,9 +17,9 @@
     [filter.requestClass, event.requestClass],
     [filter.organisation, event.organisation],
     [filter.request, event.request],
-  ].every(([wanted, actual]) => wanted === '' || wanted === actual);
+  ].every(([expected, actual]) => expected === '' || expected === actual);
 
-/** Passes decisions on to whoever watches at the moment. */
+/** Publishes decision events to the current watchers. */
 export class DecisionFeed {
   readonly #watchers = new Set<Watcher>();
 
@@ -33,8 +36,8 @@
   /**
    * Adds a watcher.
    *
-   * @param filter - decisions it wants
-   * @param watcher - called for each of them, at once
+   * @param filter - selects the decisions
+   * @param watcher - called synchronously with each selected decision
    * @returns a function that removes the watcher
    */
   watch(filter: DecisionFilter, watcher: Watcher): () => void {
--- a/packages/instance/src/host/RouterHost.ts
+++ b/packages/instance/src/host/RouterHost.ts
@@ -20,26 +20,31 @@
 import type { AttemptReporter, Session } from './Session.js';
 import { startAttempt } from './startAttempt.js';
 
-const TICK_MS = 100;
-/** Load reports that this instance reads in a second, however many servers. */
-const REPORTS_PER_SECOND = 4;
+const TICK_INTERVAL_MS = 100;
+/**
+ * Load reports fetched per second, regardless of the number of backend servers.
+ */
+const LOAD_REPORTS_PER_SECOND = 4;
 const MS_PER_SECOND = 1000;
 
-function errorOf(refusal: Refusal): RouterErrorInstance {
+function createRefusalError(refusal: Refusal): RouterErrorInstance {
   const { code, retryAfterMs } = refusal;
   return routerError(code, RESULT_CODES[code].summary, {
     retryAfterMs: Math.round(retryAfterMs),
   });
 }
 
-/** Runs the decision logic in real time and carries out its effects. */
+/**
+ * Drives the router in real time and carries out its effects, such as attempts
+ * at backend servers.
+ */
 export class RouterHost {
   readonly router: Router;
   readonly #pools = new ConnectionPools();
   readonly #sessions = new Map<RequestId, Session>();
   readonly #timers: NodeJS.Timeout[] = [];
-  #idle: (() => void) | null = null;
-  #reportTurn = 0;
+  #resolveIdle: (() => void) | null = null;
+  #reportIndex = 0;
 
   constructor(
     placement: Placement,
@@ -70,7 +75,7 @@
     });
   }
 
-  /** Requests that were accepted and have not ended. */
+  /** Number of accepted requests that have not ended. */
   get inFlight(): number {
     return this.#sessions.size;
   }
@@ -84,10 +89,10 @@
       setInterval(() => {
         this.router.tick();
         this.metrics.inFlight.set(this.inFlight);
-      }, TICK_MS),
+      }, TICK_INTERVAL_MS),
       setInterval(() => {
-        this.#fetchReport();
-      }, MS_PER_SECOND / REPORTS_PER_SECOND),
+        this.#fetchNextLoadReport();
+      }, MS_PER_SECOND / LOAD_REPORTS_PER_SECOND),
     );
   }
 
@@ -103,10 +108,10 @@
     }
   }
 
-  /** Resolves when no accepted request is left. */
+  /** Resolves when no accepted request is in flight. */
   whenIdle(): Promise<void> {
     return new Promise(resolve => {
-      this.#idle = resolve;
+      this.#resolveIdle = resolve;
       this.#checkIdle();
     });
   }
@@ -130,22 +135,22 @@
         server: view.server,
         attempt,
         tier: record.rules.tier,
-        reporter: this.#reporter(record.request.id),
+        reporter: this.#createReporter(record.request.id),
       },
       session,
     );
   }
 
-  #reporter(id: RequestId): AttemptReporter {
+  #createReporter(id: RequestId): AttemptReporter {
     return {
       onTokens: (attempt, tokens) =>
         this.router.onTokens(id, attempt.number, tokens),
       onFinished: attempt => {
-        const current = this.router.onFinished(id, attempt.number);
-        if (current) {
+        const isCurrent = this.router.onFinished(id, attempt.number);
+        if (isCurrent) {
           this.#end(id);
         }
-        return current;
+        return isCurrent;
       },
       onFailed: (attempt, failure) => {
         this.router.onFailed(id, attempt.number, failure);
@@ -163,7 +168,7 @@
   #refuse(record: RequestRecord, refusal: Refusal): void {
     const session = this.#sessions.get(record.request.id);
     this.#end(record.request.id);
-    session?.sink.onRefused(errorOf(refusal));
+    session?.sink.onRefused(createRefusalError(refusal));
   }
 
   #end(id: RequestId): void {
@@ -173,17 +178,20 @@
 
   #checkIdle(): void {
     if (this.#sessions.size === 0) {
-      this.#idle?.();
+      this.#resolveIdle?.();
     }
   }
 
-  /** Servers take turns, so that the cost does not grow with their number. */
-  #fetchReport(): void {
+  /**
+   * Fetches the report of one backend server, in rotation, so that the cost
+   * does not grow with their number.
+   */
+  #fetchNextLoadReport(): void {
     const servers = [
       ...new Set([...this.router.board.pools.values()].flat()),
     ].map(view => view.server);
-    this.#reportTurn += 1;
-    const server = servers[this.#reportTurn % servers.length];
+    this.#reportIndex += 1;
+    const server = servers[this.#reportIndex % servers.length];
     if (!server) {
       return;
     }
--- a/packages/instance/src/host/Session.ts
+++ b/packages/instance/src/host/Session.ts
@@ -10,25 +10,25 @@
 } from '@jujubecroft/backends';
 import type { RouterErrorInstance } from '@jujubecroft/types';
 
-/** Where the answer to one request goes. */
+/** Receives the answer to one request. */
 export interface AnswerSink<T> {
   readonly onProgress: (progress: T) => void;
-  readonly onWhole: () => void;
+  readonly onComplete: () => void;
   readonly onRefused: (err: RouterErrorInstance) => void;
 }
 
-/** A chat request with all that a resumed attempt needs. */
+/** A chat request with the state needed to resume it in another attempt. */
 export interface EngineSession {
   readonly kind: 'engine';
   readonly request: RoutedRequest;
   readonly messages: readonly ChatMessage[];
   readonly sink: AnswerSink<string>;
-  /** Text that the caller already holds. */
+  /** Text already passed to the sink; a resumed attempt continues after it. */
   delivered: string;
   handle: AttemptHandle | null;
 }
 
-/** A call of a plain service. */
+/** A request to a plain service. */
 export interface ServiceSession {
   readonly kind: 'service';
   readonly request: RoutedRequest;
@@ -42,7 +42,12 @@
 
 export type Session = EngineSession | ServiceSession;
 
-/** Tells the router how an attempt goes. */
+/**
+ * Reports the progress of an attempt to the router.
+ *
+ * `onTokens` and `onFinished` return false if the attempt has been superseded
+ * and its output must be discarded.
+ */
 export interface AttemptReporter {
   readonly onTokens: (attempt: Attempt, tokens: number) => boolean;
   readonly onFinished: (attempt: Attempt) => boolean;
--- a/packages/instance/src/host/startAttempt.ts
+++ b/packages/instance/src/host/startAttempt.ts
@@ -10,8 +10,8 @@
   Session,
 } from './Session.js';
 
-/** All that an attempt is started from. */
-export interface AttemptStart {
+/** Options of {@link startAttempt}. */
+export interface AttemptOptions {
   readonly pools: ConnectionPools;
   readonly server: BackendServer;
   readonly attempt: Attempt;
@@ -19,14 +19,14 @@
   readonly reporter: AttemptReporter;
 }
 
-function startEngine(
-  start: AttemptStart,
+function startEngineSession(
+  options: AttemptOptions,
   session: EngineSession,
 ): AttemptHandle {
-  const { attempt, reporter, server, pools, tier } = start;
+  const { attempt, reporter, server, pools, tier } = options;
   const { request, messages, sink } = session;
   if (request.target.kind !== 'engine') {
-    throw new Error('An engine session has an engine target.');
+    throw new Error('The target of an engine session is not an engine.');
   }
   const call = {
     server,
@@ -39,7 +39,7 @@
   };
   return startEngineAttempt(pools.of(server), call, {
     onProgress: ({ text, tokens }) => {
-      // A late answer of an older attempt must not reach the caller.
+      // Output of a superseded attempt must not reach the caller.
       if (reporter.onTokens(attempt, tokens)) {
         session.delivered += text;
         sink.onProgress(text);
@@ -47,7 +47,7 @@
     },
     onFinished: () => {
       if (reporter.onFinished(attempt)) {
-        sink.onWhole();
+        sink.onComplete();
       }
     },
     onFailed: failure => {
@@ -56,11 +56,11 @@
   });
 }
 
-function startService(
-  start: AttemptStart,
+function startServiceSession(
+  options: AttemptOptions,
   session: ServiceSession,
 ): AttemptHandle {
-  const { attempt, reporter, server, pools } = start;
+  const { attempt, reporter, server, pools } = options;
   const { method, path, headers, body, sink } = session;
   const call = { method, path, headers, body };
   return startServiceAttempt(pools.of(server), call, {
@@ -71,7 +71,7 @@
     },
     onFinished: () => {
       if (reporter.onFinished(attempt)) {
-        sink.onWhole();
+        sink.onComplete();
       }
     },
     onFailed: failure => {
@@ -83,15 +83,15 @@
 /**
  * Starts one attempt of a session at a backend server.
  *
- * @param start - server, attempt and who hears of it
- * @param session - the request
- * @returns handle to cancel the attempt
+ * @param options - backend server, attempt and reporter
+ * @param session - session of the request
+ * @returns handle that cancels the attempt
  */
 export function startAttempt(
-  start: AttemptStart,
+  options: AttemptOptions,
   session: Session,
 ): AttemptHandle {
   return session.kind === 'engine'
-    ? startEngine(start, session)
-    : startService(start, session);
+    ? startEngineSession(options, session)
+    : startServiceSession(options, session);
 }
--- a/packages/instance/src/http/AddressController.ts
+++ b/packages/instance/src/http/AddressController.ts
@@ -2,11 +2,12 @@
 
 import { CONTEXT, type InstanceContext } from '../InstanceContext.js';
 
-const KEEP_SECONDS = 15;
-/** An answer of a new instance may miss others, so it is not kept for long. */
-const YOUNG_KEEP_SECONDS = 1;
+/** Time for which callers may cache the addresses. */
+const ADDRESSES_TTL_SECONDS = 15;
+/** Shorter for a newly started instance, whose answer may lack some members. */
+const JOINING_ADDRESSES_TTL_SECONDS = 1;
 
-/** One address that callers may use. */
+/** Address of one instance that serves callers. */
 export interface AddressEntry {
   readonly instance: string;
   readonly failureDomain: string;
@@ -14,37 +15,41 @@
 }
 
 /**
- * Tells callers which instances to use. The answer is made from the membership
- * held in memory, so it stays good while the platform is down.
+ * Lists the instances that callers may use.
+ *
+ * The answer comes from the membership in memory, so it remains available while
+ * the platform is down.
  */
 @Controller('v1/addresses')
 export class AddressController {
-  #turn = 0;
+  #rotation = 0;
 
   constructor(@Inject(CONTEXT) private readonly context: InstanceContext) {}
 
   @Get()
   addresses(): object {
-    const keepSeconds = this.context.isYoung()
-      ? YOUNG_KEEP_SECONDS
-      : KEEP_SECONDS;
-    return { keep_seconds: keepSeconds, addresses: this.#inOrder() };
+    const keepSeconds = this.context.isJoining()
+      ? JOINING_ADDRESSES_TTL_SECONDS
+      : ADDRESSES_TTL_SECONDS;
+    return { keep_seconds: keepSeconds, addresses: this.#rotatedEntries() };
   }
 
   /**
-   * Preference order: each answer starts one place further along, so callers
-   * spread evenly. Suspect and leaving instances are left out.
+   * Addresses in order of preference.
+   *
+   * Each answer starts one entry later than the previous one, which spreads
+   * callers evenly. Suspect and leaving instances are omitted.
    */
-  #inOrder(): readonly AddressEntry[] {
-    const all = [...this.#own(), ...this.#others()].sort((a, b) =>
+  #rotatedEntries(): readonly AddressEntry[] {
+    const all = [...this.#ownEntry(), ...this.#memberEntries()].sort((a, b) =>
       a.instance < b.instance ? -1 : 1,
     );
-    this.#turn += 1;
-    const start = all.length === 0 ? 0 : this.#turn % all.length;
+    this.#rotation += 1;
+    const start = all.length === 0 ? 0 : this.#rotation % all.length;
     return [...all.slice(start), ...all.slice(0, start)];
   }
 
-  #own(): readonly AddressEntry[] {
+  #ownEntry(): readonly AddressEntry[] {
     if (this.context.leaving) {
       return [];
     }
@@ -53,7 +58,7 @@
     return [{ instance, failureDomain, url: callerAddress }];
   }
 
-  #others(): readonly AddressEntry[] {
+  #memberEntries(): readonly AddressEntry[] {
     return this.context.membership.members
       .filter(({ state }) => state === 'live')
       .map(({ id, failureDomain, callerAddress }) => ({
--- a/packages/instance/src/http/ChatController.ts
+++ b/packages/instance/src/http/ChatController.ts
@@ -7,17 +7,18 @@
 
 import { CONTEXT, type InstanceContext } from '../InstanceContext.js';
 import { CollectingChatSink, StreamingChatSink } from './ChatSink.js';
-import { checkServing } from './checkServing.js';
+import { assertNotLeaving } from './assertNotLeaving.js';
 import type { Caller } from './identifyCaller.js';
 import { identifyCaller } from './identifyCaller.js';
 import type { ChatRequest } from './parseChat.js';
 import { parseChat } from './parseChat.js';
-import { runOnce } from './runOnce.js';
+import { claimIdempotencyKey } from './claimIdempotencyKey.js';
 
+/** Average length of a token, to estimate prompt lengths. */
 const CHARACTERS_PER_TOKEN = 4;
-const PREFIX_CHARACTERS = 4096;
+const MAX_PREFIX_CHARACTERS = 4096;
 
-function promptTokens(chat: ChatRequest): number {
+function estimatePromptTokens(chat: ChatRequest): number {
   const characters = chat.messages.reduce(
     (sum, { content }) => sum + content.length,
     0,
@@ -25,13 +26,15 @@
   return Math.ceil(characters / CHARACTERS_PER_TOKEN);
 }
 
-/** The first message, up to a bound, is what prompts of one kind share. */
-function prefixHash(chat: ChatRequest): number {
+/**
+ * Hashes the start of the first message, which related prompts usually share.
+ */
+function hashPrefix(chat: ChatRequest): number {
   const first = chat.messages[0]?.content ?? '';
-  return murmurhash.v3(first.slice(0, PREFIX_CHARACTERS));
+  return murmurhash.v3(first.slice(0, MAX_PREFIX_CHARACTERS));
 }
 
-/** Chat completions and the list of models. */
+/** Serves chat completions and the list of models. */
 @Controller('v1')
 export class ChatController {
   constructor(@Inject(CONTEXT) private readonly context: InstanceContext) {}
@@ -49,18 +52,18 @@
     @Req() req: FastifyRequest,
     @Res() reply: FastifyReply,
   ): Promise<void> {
-    checkServing(this.context);
+    assertNotLeaving(this.context);
     const caller = identifyCaller(req, this.context.host.router.board.declared);
     const chat = parseChat(req.body);
-    this.#checkModel(chat.model);
+    this.#assertDeclaredModel(chat.model);
     const id = brand<RequestId>(randomUUID());
-    const mayRun = await runOnce(this.context, caller, id, reply);
+    const mayRun = await claimIdempotencyKey(this.context, caller, id, reply);
     if (mayRun) {
       this.#submit(caller, chat, id, reply);
     }
   }
 
-  #checkModel(model: string): void {
+  #assertDeclaredModel(model: string): void {
     const { modelVersions } = this.context.host.configuration;
     if (!modelVersions.some(({ id }) => id === model)) {
       throw routerError('unknownModel', `No model "${model}" is declared.`);
@@ -93,8 +96,8 @@
         organisation: organisation.id,
         requestClass: requestClass.id,
         target: { kind: 'engine', model: brand<ModelId>(chat.model) },
-        promptTokens: promptTokens(chat),
-        prefixHash: prefixHash(chat),
+        promptTokens: estimatePromptTokens(chat),
+        prefixHash: hashPrefix(chat),
         maxOutputTokens: Math.min(
           chat.max_completion_tokens ?? chat.max_tokens ?? Infinity,
           requestClass.maxOutputTokens,
--- a/packages/instance/src/http/ChatSink.ts
+++ b/packages/instance/src/http/ChatSink.ts
@@ -9,16 +9,17 @@
 const OK = 200;
 const MS_PER_SECOND = 1000;
 
-/** Identity of one chat answer. */
+/** Fields that identify a chat answer. */
 export interface ChatIdentity {
   readonly id: string;
   readonly model: string;
 }
 
-const createdNow = (): number => Math.floor(Date.now() / MS_PER_SECOND);
+const nowSeconds = (): number => Math.floor(Date.now() / MS_PER_SECOND);
 
-/** Sends an answer as server-sent events, as it comes. */
+/** Streams an answer as server-sent events. */
 export class StreamingChatSink implements AnswerSink<string> {
+  /** Start of each event's JSON object, without the closing brace. */
   readonly #head: string;
   #raw: ServerResponse | null = null;
 
@@ -31,7 +32,7 @@
     const fields = {
       id,
       object: 'chat.completion.chunk',
-      created: createdNow(),
+      created: nowSeconds(),
       model,
     };
     this.#head = JSON.stringify(fields).slice(0, -1);
@@ -42,12 +43,14 @@
     this.#open().write(this.#event(delta, 'null'));
   }
 
-  onWhole(): void {
+  onComplete(): void {
     this.#open().end(`${this.#event('{}', '"stop"')}data: [DONE]\n\n`);
     this.onEnded();
   }
 
-  /** Before the first token a plain error reply, afterwards an error event. */
+  /**
+   * Sends an error reply if nothing has been streamed yet, else an error event.
+   */
   onRefused(err: RouterErrorInstance): void {
     if (this.#raw === null) {
       sendError(this.reply, err, this.identity.id);
@@ -75,7 +78,7 @@
   }
 }
 
-/** Collects an answer and sends it whole. */
+/** Buffers an answer and sends it as one JSON body. */
 export class CollectingChatSink implements AnswerSink<string> {
   #text = '';
 
@@ -89,17 +92,17 @@
     this.#text += text;
   }
 
-  onWhole(): void {
+  onComplete(): void {
     const { id, model } = this.identity;
     const message = { role: 'assistant', content: this.#text };
-    // The framework would answer a POST with 201.
+    // Nest would answer a POST with 201 by default.
     void this.reply
       .code(OK)
       .header('x-request-id', id)
       .send({
         id,
         object: 'chat.completion',
-        created: createdNow(),
+        created: nowSeconds(),
         model,
         choices: [{ index: 0, message, finish_reason: 'stop' }],
       });
--- a/packages/instance/src/http/ErrorFilter.ts
+++ b/packages/instance/src/http/ErrorFilter.ts
@@ -8,23 +8,23 @@
 import { sendError } from './sendError.js';
 
 const NOT_FOUND = 404;
-const TOO_LARGE = 413;
-const CLIENT_ERROR_FROM = 400;
-const SERVER_ERROR_FROM = 500;
+const PAYLOAD_TOO_LARGE = 413;
+const MIN_CLIENT_ERROR = 400;
+const MIN_SERVER_ERROR = 500;
 
 function statusOf(err: unknown): number {
   if (err instanceof HttpException) {
     return err.getStatus();
   }
-  const carried =
+  const statusCode =
     typeof err === 'object' && err !== null && 'statusCode' in err
       ? err.statusCode
-      : SERVER_ERROR_FROM;
-  return Number(carried);
+      : MIN_SERVER_ERROR;
+  return Number(statusCode);
 }
 
-/** Maps errors of the web framework to the catalogue. */
-function numbered(err: unknown): RouterErrorInstance {
+/** Maps errors of the web framework to result codes. */
+function withResultCode(err: unknown): RouterErrorInstance {
   if (isRouterError(err)) {
     return err;
   }
@@ -33,22 +33,22 @@
   if (status === NOT_FOUND) {
     return routerError('unknownPath', message);
   }
-  if (status === TOO_LARGE) {
+  if (status === PAYLOAD_TOO_LARGE) {
     return routerError('bodyTooLarge', message);
   }
-  if (status >= CLIENT_ERROR_FROM && status < SERVER_ERROR_FROM) {
+  if (status >= MIN_CLIENT_ERROR && status < MIN_SERVER_ERROR) {
     return routerError('malformedBody', message);
   }
   return toRouterError(err);
 }
 
-/** Answers every error with its numbered code in the envelope. */
+/** Answers every error with its result code in the error envelope. */
 @Catch()
 export class ErrorFilter implements ExceptionFilter {
   constructor(private readonly log: EventLog) {}
 
   catch(thrown: unknown, host: ArgumentsHost): void {
-    const err = numbered(thrown);
+    const err = withResultCode(thrown);
     if (err.code === 'internal') {
       this.log.write('unexpectedError', { reason: String(thrown) });
     }
--- a/packages/instance/src/http/HealthController.ts
+++ b/packages/instance/src/http/HealthController.ts
@@ -6,18 +6,18 @@
 const UNAVAILABLE = 503;
 const OK = 200;
 
-/** Liveness, readiness and metrics. */
+/** Serves liveness, readiness and metrics. */
 @Controller()
 export class HealthController {
   constructor(@Inject(CONTEXT) private readonly context: InstanceContext) {}
 
-  /** The process runs. */
+  /** Liveness: always succeeds while the process runs. */
   @Get('health')
   health(): object {
     return { status: 'ok' };
   }
 
-  /** The instance takes new work: it has a configuration and does not stop. */
+  /** Readiness: the instance has a configuration and is not stopping. */
   @Get('ready')
   ready(@Res() reply: FastifyReply): void {
     const { revision } = this.context.host.configuration;
--- a/packages/instance/src/http/ServiceController.ts
+++ b/packages/instance/src/http/ServiceController.ts
@@ -11,14 +11,14 @@
 
 import type { AnswerSink } from '../host/Session.js';
 import { CONTEXT, type InstanceContext } from '../InstanceContext.js';
-import { checkServing } from './checkServing.js';
+import { assertNotLeaving } from './assertNotLeaving.js';
 import type { Caller } from './identifyCaller.js';
 import { identifyCaller } from './identifyCaller.js';
-import { runOnce } from './runOnce.js';
+import { claimIdempotencyKey } from './claimIdempotencyKey.js';
 import { sendError } from './sendError.js';
 
-/** Headers of the caller that end at the instance. */
-const OWN_HEADERS: ReadonlySet<string> = new Set([
+/** Request headers that are not forwarded to the service. */
+const UNFORWARDED_HEADERS: ReadonlySet<string> = new Set([
   'authorization',
   'connection',
   'content-length',
@@ -31,17 +31,20 @@
   'x-request-class',
 ]);
 
-function passedHeaders(req: FastifyRequest): Record<string, string> {
+function forwardedHeaders(req: FastifyRequest): Record<string, string> {
   return Object.fromEntries(
     Object.entries(req.headers)
-      .filter(([name]) => !OWN_HEADERS.has(name))
+      .filter(([name]) => !UNFORWARDED_HEADERS.has(name))
       .map(([name, value]) => [name, String(value)]),
   );
 }
 
-/** Passes a service's reply on and settles the claim of a keyed call. */
+/**
+ * Sends a service's reply to the caller and updates the claim of its
+ * idempotency key.
+ */
 class ServiceSink implements AnswerSink<ServiceReply> {
-  #reply: ServiceReply | null = null;
+  #serviceReply: ServiceReply | null = null;
   ended = false;
 
   constructor(
@@ -52,20 +55,20 @@
   ) {}
 
   onProgress(reply: ServiceReply): void {
-    this.#reply = reply;
+    this.#serviceReply = reply;
   }
 
-  onWhole(): void {
+  onComplete(): void {
     this.ended = true;
-    if (!this.#reply) {
+    if (!this.#serviceReply) {
       return;
     }
-    const { status, headers, body } = this.#reply;
+    const { status, headers, body } = this.#serviceReply;
     void this.reply
       .code(status)
       .headers({ ...headers, 'x-request-id': this.id })
       .send(body);
-    this.#settle(key =>
+    this.#updateClaim(key =>
       this.context.claims.complete(this.caller.organisation.id, key, this.id, {
         status,
         headers,
@@ -78,21 +81,24 @@
     this.ended = true;
     sendError(this.reply, err, this.id);
     if (err.ran === 'no') {
-      this.#settle(key =>
+      this.#updateClaim(key =>
         this.context.claims.release(this.caller.organisation.id, key),
       );
     }
   }
 
-  /** A claim that cannot be settled now stays and keeps repeats from running. */
-  #settle(
-    write: (key: NonNullable<Caller['idempotencyKey']>) => Promise<void>,
+  /**
+   * Updates the claim, if there is one. If this fails, the claim remains and
+   * repeats are refused.
+   */
+  #updateClaim(
+    update: (key: NonNullable<Caller['idempotencyKey']>) => Promise<void>,
   ): void {
     const { idempotencyKey, idempotent } = this.caller;
     if (idempotent || idempotencyKey === null) {
       return;
     }
-    write(idempotencyKey).catch((err: unknown) => {
+    update(idempotencyKey).catch((err: unknown) => {
       this.context.log.write('unexpectedError', {
         request: this.id,
         reason: String(err),
@@ -101,7 +107,7 @@
   }
 }
 
-/** Plain services under `/services/NAME/…`. */
+/** Serves plain services under `/services/NAME/…`. */
 @Controller('services')
 export class ServiceController {
   constructor(@Inject(CONTEXT) private readonly context: InstanceContext) {}
@@ -112,21 +118,21 @@
     @Req() req: FastifyRequest,
     @Res() reply: FastifyReply,
   ): Promise<void> {
-    checkServing(this.context);
+    assertNotLeaving(this.context);
     const caller = identifyCaller(req, this.context.host.router.board.declared);
-    this.#checkService(service);
+    this.#assertOfferedService(service);
     const id = brand<RequestId>(randomUUID());
-    if (await runOnce(this.context, caller, id, reply)) {
+    if (await claimIdempotencyKey(this.context, caller, id, reply)) {
       this.#submit(caller, service, id, req, reply);
     }
   }
 
-  #checkService(service: string): void {
+  #assertOfferedService(service: string): void {
     const { backendServers } = this.context.host.configuration;
-    const offered = backendServers.some(({ services }) =>
+    const isOffered = backendServers.some(({ services }) =>
       services.some(name => name === service),
     );
-    if (!offered) {
+    if (!isOffered) {
       throw routerError(
         'unknownService',
         `No backend server offers the service "${service}".`,
@@ -163,7 +169,7 @@
       },
       method: req.method,
       path: req.url.slice(`/services/${service}`.length),
-      headers: passedHeaders(req),
+      headers: forwardedHeaders(req),
       body: Buffer.isBuffer(req.body) && req.body.length > 0 ? req.body : null,
       sink,
       handle: null,
--- a/packages/instance/src/http/runOnce.ts
+++ b/packages/instance/src/http/claimIdempotencyKey.ts
@@ -8,7 +8,7 @@
 
 const RETRY_AFTER_MS = 2000;
 
-function replay(reply: FastifyReply, stored: StoredReply): void {
+function sendStoredReply(reply: FastifyReply, stored: StoredReply): void {
   void reply
     .code(stored.status)
     .headers({ ...stored.headers, 'x-replayed': 'true' })
@@ -18,18 +18,19 @@
 /**
  * Claims the idempotency key of a non-idempotent request before it runs.
  *
- * Requests that are idempotent, or that carry no key, need no claim: the first
- * may run again, and the second are never sent twice by an instance.
+ * Other requests need no claim: idempotent ones may run again, and an instance
+ * never sends a non-idempotent request without a key twice.
  *
- * @param context - of the instance
- * @param caller - whose key it is
- * @param id - unique id of this request
- * @param reply - gets the stored reply when the request already ran
+ * @param context - context of the instance
+ * @param caller - caller with the idempotency key
+ * @param id - unique id of the request
+ * @param reply - HTTP reply; receives the stored reply if the request already
+ *   ran
  * @returns whether the request may run
  * @throws RouterError `duplicateInProgress`, `duplicateAlreadyRan` or
  *   `claimUnavailable`
  */
-export async function runOnce(
+export async function claimIdempotencyKey(
   context: InstanceContext,
   caller: Caller,
   id: RequestId,
@@ -60,7 +61,7 @@
           `The key "${idempotencyKey}" already ran.`,
         );
       }
-      replay(reply, result.reply);
+      sendStoredReply(reply, result.reply);
       return false;
   }
 }
--- a/packages/instance/src/http/createHttpApp.ts
+++ b/packages/instance/src/http/createHttpApp.ts
@@ -30,10 +30,10 @@
 }
 
 /**
- * Creates the web application for callers.
+ * Creates the HTTP application for callers.
  *
- * @param context - of the instance
- * @returns the application, not listening yet
+ * @param context - context of the instance
+ * @returns the application, which does not listen yet
  */
 export async function createHttpApp(
   context: InstanceContext,
@@ -44,7 +44,7 @@
   });
   const fastify = adapter.getInstance();
   fastify.removeAllContentTypeParsers();
-  // Bodies stay raw: plain services get them as they came.
+  // Bodies are not parsed, since plain services receive them unchanged.
   fastify.addContentTypeParser(
     '*',
     { parseAs: 'buffer' },
@@ -55,7 +55,7 @@
   const app = await NestFactory.create<NestFastifyApplication>(
     InstanceModule.with(context),
     adapter,
-    // Nest declares its options as a class, yet takes plain objects.
+    // Nest declares its options as a class but accepts plain objects.
     // eslint-disable-next-line @typescript-eslint/no-unsafe-class-instance-assignment
     { bodyParser: false, logger: false, abortOnError: false },
   );
--- a/packages/instance/src/http/errorEnvelope.ts
+++ b/packages/instance/src/http/errorEnvelope.ts
@@ -1,7 +1,7 @@
 import type { ResultCode, RouterErrorInstance } from '@jujubecroft/types';
 import { RESULT_CODES } from '@jujubecroft/types';
 
-/** Error body in the envelope that chat-completions clients know. */
+/** Error body in the format that chat-completions clients expect. */
 export interface ErrorEnvelope {
   readonly error: {
     readonly message: string;
@@ -15,11 +15,11 @@
 }
 
 /**
- * Puts a numbered error into the envelope.
+ * Converts an error to its response body.
  *
  * @param err - the error
- * @param request - id of the request, empty when it never got one
- * @returns the body
+ * @param request - id of the request; empty if none was assigned
+ * @returns the response body
  */
 export function errorEnvelope(
   err: RouterErrorInstance,
--- a/packages/instance/src/http/identifyCaller.ts
+++ b/packages/instance/src/http/identifyCaller.ts
@@ -9,7 +9,9 @@
 } from '@jujubecroft/types';
 import { brand, routerError } from '@jujubecroft/types';
 
-/** Who calls, with which class, and how repeats are to be treated. */
+/**
+ * Organisation and request class of a call, and how repeats of it are handled.
+ */
 export interface Caller {
   readonly organisation: Organisation;
   readonly requestClass: RequestClass;
@@ -48,12 +50,12 @@
   req: FastifyRequest,
   declared: DeclaredEntities,
 ): RequestClass {
-  const name = brand<ClassId>(header(req, 'x-request-class') ?? '');
-  const found = declared.requestClasses.get(name);
+  const id = brand<ClassId>(header(req, 'x-request-class') ?? '');
+  const found = declared.requestClasses.get(id);
   if (!found) {
     throw routerError(
       'unknownClass',
-      `No request class "${name}" is declared; set x-request-class.`,
+      `No request class "${id}" is declared; set x-request-class.`,
     );
   }
   return found;
@@ -73,11 +75,17 @@
   return brand<IdempotencyKey>(key);
 }
 
-/** The header can only make a call stricter than its class. */
-function idempotentOf(req: FastifyRequest, rules: RequestClass): boolean {
+/**
+ * The header can mark a call as non-idempotent, but not override a
+ * non-idempotent class.
+ */
+function idempotentOf(
+  req: FastifyRequest,
+  requestClass: RequestClass,
+): boolean {
   const value = header(req, 'x-idempotent');
   if (value === undefined) {
-    return rules.idempotent;
+    return requestClass.idempotent;
   }
   if (value !== 'true' && value !== 'false') {
     throw routerError(
@@ -85,16 +93,17 @@
       'x-idempotent must be "true" or "false".',
     );
   }
-  return rules.idempotent && value === 'true';
+  return requestClass.idempotent && value === 'true';
 }
 
 /**
- * Reads and checks the headers of a call.
+ * Authenticates a call and validates its headers.
  *
- * @param req - the call
- * @param declared - entities in force
+ * @param req - the HTTP request
+ * @param declared - entities of the current configuration
  * @returns the caller
- * @throws RouterError `unknownOrganisation`, `unknownClass` or `headerOutOfRange`
+ * @throws RouterError `unknownOrganisation`, `unknownClass` or
+ *   `headerOutOfRange`
  */
 export function identifyCaller(
   req: FastifyRequest,
--- a/packages/instance/src/http/parseChat.ts
+++ b/packages/instance/src/http/parseChat.ts
@@ -11,7 +11,7 @@
     .transform(parts => parts.map(({ text }) => text).join('')),
 ]);
 
-const tokenBound = z.number().int().positive().max(MAX_TOKENS).optional();
+const tokenLimitSchema = z.number().int().positive().max(MAX_TOKENS).optional();
 
 const chatSchema = z.object({
   model: z.string().min(1),
@@ -20,11 +20,11 @@
     .min(1)
     .max(MAX_MESSAGES),
   stream: z.boolean().default(false),
-  max_tokens: tokenBound,
-  max_completion_tokens: tokenBound,
+  max_tokens: tokenLimitSchema,
+  max_completion_tokens: tokenLimitSchema,
 });
 
-/** A chat request as callers send it. */
+/** Body of a chat-completions request. */
 export type ChatRequest = z.infer<typeof chatSchema>;
 
 function parseJson(body: Buffer): unknown {
@@ -36,11 +36,11 @@
 }
 
 /**
- * Checks the body of a chat call.
+ * Parses and validates the body of a chat-completions request.
  *
- * @param body - raw bytes
+ * @param body - unparsed body, a buffer
  * @returns the request
- * @throws RouterError `malformedBody` that names each faulty field
+ * @throws RouterError `malformedBody`, which names each invalid field
  */
 export function parseChat(body: unknown): ChatRequest {
   const raw = Buffer.isBuffer(body) ? body : Buffer.alloc(0);
--- a/packages/instance/src/http/sendError.ts
+++ b/packages/instance/src/http/sendError.ts
@@ -7,11 +7,12 @@
 const MS_PER_SECOND = 1000;
 
 /**
- * Sends a numbered error with its status and, where useful, `retry-after`.
+ * Sends an error with its HTTP status and, if it has a retry delay,
+ * `retry-after`.
  *
- * @param reply - a reply whose head was not sent
+ * @param reply - reply whose headers have not been sent
  * @param err - the error
- * @param request - id of the request
+ * @param request - id of the request; empty if none was assigned
  */
 export function sendError(
   reply: FastifyReply,
--- a/packages/instance/src/metrics/InstanceMetrics.ts
+++ b/packages/instance/src/metrics/InstanceMetrics.ts
@@ -2,11 +2,13 @@
 import type { DecisionEvent } from '@jujubecroft/types';
 
 const MS_PER_SECOND = 1000;
-const FIRST_TOKEN_BUCKETS = [
+const FIRST_TOKEN_BUCKETS_SECONDS = [
   0.05, 0.1, 0.2, 0.41, 0.8, 1.6, 3.2, 6.4, 12.8, 30,
 ];
 
-/** Metrics of one instance, fed by its decisions. */
+/**
+ * Prometheus metrics of one instance, derived mainly from its decision events.
+ */
 export class InstanceMetrics {
   readonly registry = new Registry();
   readonly #decisions = new Counter({
@@ -31,7 +33,7 @@
     name: 'jujubecroft_first_token_seconds',
     help: 'Time from arrival to first token by request class.',
     labelNames: ['class'] as const,
-    buckets: FIRST_TOKEN_BUCKETS,
+    buckets: FIRST_TOKEN_BUCKETS_SECONDS,
     registers: [this.registry],
   });
   readonly revision = new Gauge({
@@ -51,6 +53,7 @@
     registers: [this.registry],
   });
 
+  /** Updates the counters and histograms with one decision event. */
   observe(event: DecisionEvent): void {
     const { decision, requestClass } = event;
     this.#decisions.inc({ kind: decision.kind, class: requestClass });
--- a/packages/instance/src/startInstance.ts
+++ b/packages/instance/src/startInstance.ts
@@ -9,7 +9,7 @@
 import { ClaimBook } from './claims/ClaimBook.js';
 import { ClaimCollectors } from './claims/ClaimCollectors.js';
 import { WriteBatcher } from './claims/WriteBatcher.js';
-import { peerCredentials } from './control/peerCredentials.js';
+import { createPeerCredentials } from './control/createPeerCredentials.js';
 import { startControlServer } from './control/startControlServer.js';
 import type { EventLog } from '@jujubecroft/events';
 import { DecisionFeed } from './host/DecisionFeed.js';
@@ -22,22 +22,27 @@
 import { PeerConnections } from './state/PeerConnections.js';
 import { ShareLoop } from './state/ShareLoop.js';
 
-/** An instance that accepts callers. */
+/** A started instance that accepts requests. */
 export interface RunningInstance {
   readonly callerUrl: string;
-  /** Host and port for operators and other instances. */
+  /** Host and port of the gRPC server for operators and other instances. */
   readonly controlAddress: string;
   readonly context: InstanceContext;
-  /** Takes no new work, finishes every request in flight, then stops. */
+  /** Graceful stop: rejects new requests and finishes those in flight. */
   readonly stop: () => Promise<void>;
-  /** Drops everything at once, as a crash does. */
+  /** Drops all connections at once, to simulate a crash. */
   readonly kill: () => Promise<void>;
 }
 
-/** Time for the news of a leave to reach callers and other instances. */
-const LEAVE_SPREAD_MS = 1500;
+/**
+ * Time that callers and other instances need to learn that this instance is
+ * leaving.
+ */
+const LEAVE_PROPAGATION_MS = 1500;
 
-/** Waits until callers and peers can know that the instance leaves. */
+/**
+ * Announces the leave and waits until callers and peers can have learned of it.
+ */
 async function announceLeave(
   context: InstanceContext,
   loop: MembershipLoop,
@@ -46,7 +51,7 @@
   context.membership.leave();
   context.log.write('instanceStopping', { inFlight: context.host.inFlight });
   await loop.spread();
-  await new Promise(resolve => setTimeout(resolve, LEAVE_SPREAD_MS));
+  await new Promise(resolve => setTimeout(resolve, LEAVE_PROPAGATION_MS));
 }
 
 interface InstanceParts {
@@ -81,7 +86,7 @@
     () => Date.now(),
     random,
   );
-  const peers = new PeerConnections(peerCredentials(settings.controlTls));
+  const peers = new PeerConnections(createPeerCredentials(settings.controlTls));
   const store = new ConfigurationStore(platform.table, platform.objects);
   const sync = new ConfigurationSync(
     store,
@@ -97,7 +102,9 @@
     peers,
     () => batcher,
   );
-  const batcher = new WriteBatcher(platform.table, () => collectors.paceMs());
+  const batcher = new WriteBatcher(platform.table, () =>
+    collectors.batchPauseMs(),
+  );
   const claims = new ClaimBook(
     platform.table,
     write => collectors.write(write),
@@ -111,7 +118,7 @@
     metrics,
     log,
     member => {
-      sync.onAhead(member);
+      sync.onNewerRevision(member);
     },
   );
   const context: InstanceContext = {
@@ -126,19 +133,19 @@
     batcher,
     shares: new ShareLoop(membership, peers, host),
     log,
-    isYoung: () => loop.isYoung,
+    isJoining: () => loop.isJoining,
     leaving: false,
   };
   return { context, loop, closePlatform: platform.close };
 }
 
 /**
- * Starts an instance and returns when it accepts callers.
+ * Starts an instance and resolves when it accepts requests.
  *
- * @param settings - checked settings; port 0 takes any free port
- * @param log - where events go
+ * @param settings - validated settings; port 0 selects a free port
+ * @param log - log of the instance
  * @returns the running instance
- * @throws RouterError `noConfiguration` when there is nothing to start from
+ * @throws RouterError `noConfiguration` if no source has a configuration
  */
 export async function startInstance(
   settings: InstanceSettings,
--- a/packages/instance/src/state/ConfigurationSync.ts
+++ b/packages/instance/src/state/ConfigurationSync.ts
@@ -8,12 +8,14 @@
 import type { InstanceMetrics } from '../metrics/InstanceMetrics.js';
 import type { PeerConnections } from './PeerConnections.js';
 
-const POLL_MS = 1000;
-/** Reads a second that all polls together may cost the table. */
-const POLL_READS_PER_SECOND = 100;
-const START_ATTEMPTS = 5;
-const START_RETRY_MS = 500;
-const SNAPSHOT_DELAY_MS = 500;
+/** Mean time between the polls of one instance in a small fleet. */
+const POLL_INTERVAL_MS = 1000;
+/** Limit of table reads per second for polls of the whole fleet. */
+const MAX_POLL_READS_PER_SECOND = 100;
+const START_RETRIES = 5;
+const START_RETRY_DELAY_MS = 500;
+/** Longest random delay of a snapshot write. */
+const MAX_SNAPSHOT_DELAY_MS = 500;
 const MS_PER_SECOND = 1000;
 
 const wait = (ms: number): Promise<void> =>
@@ -22,14 +24,14 @@
 /**
  * Keeps the configuration of one instance up to date.
  *
- * News of a revision comes with heartbeats or from the own poll of the table,
- * whichever is first. The table is read for it, or, while the table is down,
- * the peer that has it.
+ * An instance learns of a new revision from a heartbeat or from its own poll of
+ * the table, whichever is first. It loads the revision from the table or, while
+ * the table is unreachable, from the peer that has it.
  */
 export class ConfigurationSync {
-  #timer: NodeJS.Timeout | null = null;
+  #pollTimer: NodeJS.Timeout | null = null;
   #fetching = false;
-  #reachable = true;
+  #tableReachable = true;
   #stopped = false;
 
   constructor(
@@ -42,41 +44,45 @@
     private readonly random: () => number,
   ) {}
 
-  /** Whether the last call of the table was answered. */
+  /** Whether the last read of the table succeeded. */
   get tableReachable(): boolean {
-    return this.#reachable;
+    return this.#tableReachable;
   }
 
   /**
-   * Loads the first configuration: table, else a peer, else the snapshot.
+   * Loads the initial configuration and starts to poll.
    *
-   * @throws RouterError `noConfiguration` when none of them has one
+   * Tries the table, then peers, then the snapshot.
+   *
+   * @throws RouterError `noConfiguration` if none of them has one
    */
   async start(): Promise<void> {
-    const found = await this.#loadFirst(START_ATTEMPTS);
+    const found = await this.#loadInitial(START_RETRIES);
     if (!found) {
       throw routerError(
         'noConfiguration',
-        'Neither table nor peers nor the snapshot hold a configuration.',
+        'No configuration found in the table, at peers or in the snapshot.',
       );
     }
-    this.#schedule();
+    this.#schedulePoll();
   }
 
   stop(): void {
     this.#stopped = true;
-    if (this.#timer) {
-      clearTimeout(this.#timer);
+    if (this.#pollTimer) {
+      clearTimeout(this.#pollTimer);
     }
   }
 
-  /** Reads the table now, as after an own commit. */
+  /**
+   * Loads the latest configuration from the table, for example after a commit.
+   */
   async refresh(): Promise<void> {
-    this.#adopt(await this.store.update(this.host.configuration));
+    this.#applyConfiguration(await this.store.update(this.host.configuration));
   }
 
-  /** Called when a heartbeat shows a member with a later revision. */
-  onAhead(member: Member): void {
+  /** Catches up with a member that is known to have a newer revision. */
+  onNewerRevision(member: Member): void {
     if (this.#fetching) {
       return;
     }
@@ -86,43 +92,43 @@
     });
   }
 
-  async #loadFirst(attemptsLeft: number): Promise<boolean> {
+  async #loadInitial(retriesLeft: number): Promise<boolean> {
     const loaded =
-      (await this.#fromTable()) ||
-      (await this.#fromPeers()) ||
-      (await this.#fromSnapshot());
-    if (loaded || attemptsLeft === 0) {
+      (await this.#loadFromTable()) ||
+      (await this.#loadFromPeers()) ||
+      (await this.#loadFromSnapshot());
+    if (loaded || retriesLeft === 0) {
       return loaded;
     }
-    await wait(START_RETRY_MS);
-    return this.#loadFirst(attemptsLeft - 1);
+    await wait(START_RETRY_DELAY_MS);
+    return this.#loadInitial(retriesLeft - 1);
   }
 
-  async #fromTable(): Promise<boolean> {
+  async #loadFromTable(): Promise<boolean> {
     try {
       await this.refresh();
-      this.#onReachable(true);
+      this.#setTableReachable(true);
       return true;
     } catch {
-      this.#onReachable(false);
+      this.#setTableReachable(false);
       return false;
     }
   }
 
-  async #fromPeers(): Promise<boolean> {
+  async #loadFromPeers(): Promise<boolean> {
     const members = this.membership.helpers(this.membership.self.instance, 3);
     const found = await Promise.all(
-      members.map(member => this.#fetchFrom(member).catch(() => false)),
+      members.map(member => this.#loadFromPeer(member).catch(() => false)),
     );
     return found.some(adopted => adopted);
   }
 
-  async #fromSnapshot(): Promise<boolean> {
+  async #loadFromSnapshot(): Promise<boolean> {
     try {
       const cfg = await this.store.readSnapshot();
       if (cfg) {
         this.log.write('configurationSource', { source: 'snapshot' });
-        this.#adopt(cfg);
+        this.#applyConfiguration(cfg);
       }
       return cfg !== null;
     } catch {
@@ -131,13 +137,13 @@
   }
 
   async #catchUp(member: Member): Promise<void> {
-    if (await this.#fromTable()) {
+    if (await this.#loadFromTable()) {
       return;
     }
-    await this.#fetchFrom(member).catch(() => false);
+    await this.#loadFromPeer(member).catch(() => false);
   }
 
-  async #fetchFrom(member: Member): Promise<boolean> {
+  async #loadFromPeer(member: Member): Promise<boolean> {
     const reply = await this.peers.configuration(
       member.peerAddress,
       this.host.configuration.revision,
@@ -146,11 +152,13 @@
       return false;
     }
     this.log.write('configurationSource', { source: member.id });
-    this.#adopt(JSON.parse(reply.configurationJson) as Configuration);
+    this.#applyConfiguration(
+      JSON.parse(reply.configurationJson) as Configuration,
+    );
     return true;
   }
 
-  #adopt(cfg: Configuration): void {
+  #applyConfiguration(cfg: Configuration): void {
     const before = this.host.configuration.revision;
     if (!this.host.router.configure(cfg)) {
       return;
@@ -159,44 +167,50 @@
     this.log.write('configurationInForce', { revision: cfg.revision, before });
   }
 
-  /** Polls spread over the fleet, so that their sum stays within the budget. */
-  #schedule(): void {
+  /**
+   * Schedules the next poll; the interval grows with the fleet to keep to the
+   * read limit.
+   */
+  #schedulePoll(): void {
     const fleet = this.membership.serving.length + 1;
-    const shareMs = (fleet / POLL_READS_PER_SECOND) * MS_PER_SECOND;
-    const delayMs = Math.max(POLL_MS, shareMs) * (0.5 + this.random());
-    this.#timer = setTimeout(() => {
+    const budgetedMs = (fleet / MAX_POLL_READS_PER_SECOND) * MS_PER_SECOND;
+    const delayMs =
+      Math.max(POLL_INTERVAL_MS, budgetedMs) * (0.5 + this.random());
+    this.#pollTimer = setTimeout(() => {
       void this.#poll();
     }, delayMs);
   }
 
   async #poll(): Promise<void> {
     const before = this.host.configuration.revision;
-    await this.#fromTable();
-    if (this.host.configuration.revision > before && this.#isWriter()) {
+    await this.#loadFromTable();
+    if (this.host.configuration.revision > before && this.#isSnapshotWriter()) {
       await this.writeSnapshot();
     }
     if (!this.#stopped) {
-      this.#schedule();
+      this.#schedulePoll();
     }
   }
 
   /**
-   * Besides the instance that committed a change, one more writes the snapshot:
-   * the first by name. Should both be gone, the next change writes it again.
+   * Whether this instance also writes the snapshot after a change by another.
+   *
+   * Apart from the instance that committed the change, the one with the lowest
+   * id writes it. If both fail, the snapshot is written after the next change.
    */
-  #isWriter(): boolean {
+  #isSnapshotWriter(): boolean {
     const { self, serving } = this.membership;
     return serving.every(({ id }) => id > self.instance);
   }
 
   /**
-   * Writes the snapshot for starts during an outage.
+   * Writes the snapshot, from which instances can start during an outage.
    *
-   * An older snapshot that overwrites a later one does no harm for long: it is
-   * only a start, and the table or a peer brings what is missing.
+   * It is tolerable if an older snapshot overwrites a newer one: an instance
+   * that starts from it catches up from the table or a peer.
    */
   async writeSnapshot(): Promise<void> {
-    await wait(this.random() * SNAPSHOT_DELAY_MS);
+    await wait(this.random() * MAX_SNAPSHOT_DELAY_MS);
     try {
       await this.store.writeSnapshot(this.host.configuration);
     } catch (err) {
@@ -204,11 +218,11 @@
     }
   }
 
-  #onReachable(reachable: boolean): void {
-    if (reachable === this.#reachable) {
+  #setTableReachable(reachable: boolean): void {
+    if (reachable === this.#tableReachable) {
       return;
     }
-    this.#reachable = reachable;
+    this.#tableReachable = reachable;
     this.log.write(reachable ? 'platformBack' : 'platformDown', {});
   }
 }
--- a/packages/instance/src/state/MembershipLoop.ts
+++ b/packages/instance/src/state/MembershipLoop.ts
@@ -12,21 +12,30 @@
 import type { PeerConnections } from './PeerConnections.js';
 
 const PERIOD_MS = 1000;
-const LIST_EVERY_PERIODS = 5;
-/** A new instance reads the list each period, since it lags and has just changed. */
-const YOUNG_PERIODS = 15;
-const INDIRECT_CHECKS = 2;
+const LIST_INTERVAL_PERIODS = 5;
+/**
+ * A new instance reads the instance list in each of its first periods: the list
+ * lags, and this instance has just been added to it.
+ */
+const JOINING_PERIODS = 15;
+const INDIRECT_PROBES = 2;
 const STATES: readonly MemberState[] = ['failed', 'leaving', 'live', 'suspect'];
 
-/** Called with a member whose configuration is ahead of ours. */
-type AheadListener = (member: Member) => void;
+/**
+ * Called with a member that has a newer configuration revision than this
+ * instance.
+ */
+type NewerRevisionListener = (member: Member) => void;
 
-/** Runs the membership of one instance: heartbeats and list. */
+/**
+ * Keeps the membership of one instance up to date by heartbeats and the
+ * platform's instance list.
+ */
 export class MembershipLoop {
   #timer: NodeJS.Timeout | null = null;
   #period = 0;
-  #placed = '';
-  readonly #watch = new MemberStateWatch();
+  #placedFleet = '';
+  readonly #stateWatch = new MemberStateWatch();
 
   constructor(
     private readonly membership: Membership,
@@ -35,19 +44,22 @@
     private readonly host: RouterHost,
     private readonly metrics: InstanceMetrics,
     private readonly log: EventLog,
-    private readonly onAhead: AheadListener,
+    private readonly onNewerRevision: NewerRevisionListener,
   ) {}
 
-  /** Whether this instance may not know the whole fleet yet. */
-  get isYoung(): boolean {
-    return this.#period < YOUNG_PERIODS;
+  /**
+   * Whether this instance started so recently that it may not know all members
+   * yet.
+   */
+  get isJoining(): boolean {
+    return this.#period < JOINING_PERIODS;
   }
 
   async start(): Promise<void> {
     await this.#readList();
-    this.#place();
+    this.#updatePlacement();
     this.#timer = setInterval(() => {
-      this.#beat();
+      this.#runPeriod();
     }, PERIOD_MS);
   }
 
@@ -58,34 +70,35 @@
     this.peers.close();
   }
 
-  /** Sends one round of heartbeats at once, as before a stop. */
+  /** Sends one round of heartbeats immediately, for example before a stop. */
   async spread(): Promise<void> {
     await Promise.all(
-      this.membership.targets().map(member => this.#exchange(member)),
+      this.membership.targets().map(member => this.#exchangeHeartbeat(member)),
     );
   }
 
-  #beat(): void {
+  #runPeriod(): void {
     this.#period += 1;
     this.membership.tick();
-    const isYoung = this.#period < YOUNG_PERIODS;
-    if (isYoung || this.#period % LIST_EVERY_PERIODS === 0) {
+    const isJoining = this.#period < JOINING_PERIODS;
+    if (isJoining || this.#period % LIST_INTERVAL_PERIODS === 0) {
       void this.#readList();
     }
     void this.spread();
-    this.#place();
-    this.#observe();
+    this.#updatePlacement();
+    this.#recordStates();
   }
 
   async #readList(): Promise<void> {
     try {
       this.membership.onList(await this.list.list());
     } catch {
-      // The platform is down; heartbeats alone keep the membership going.
+      // While the platform is unreachable, heartbeats alone maintain the
+      // membership.
     }
   }
 
-  async #exchange(member: Member): Promise<void> {
+  async #exchangeHeartbeat(member: Member): Promise<void> {
     const message = this.membership.message({
       revision: this.host.configuration.revision,
       inFlight: this.host.inFlight,
@@ -96,42 +109,48 @@
         toHeartbeatMessage(message),
       );
       this.membership.onMessage(fromHeartbeatMessage(reply));
-      this.#checkAhead(member);
+      this.#checkRevision(member);
     } catch {
-      await this.#checkIndirectly(member);
+      await this.#probeIndirectly(member);
     }
   }
 
-  #checkAhead(member: Member): void {
+  #checkRevision(member: Member): void {
     if (member.revision > this.host.configuration.revision) {
-      this.onAhead(member);
+      this.onNewerRevision(member);
     }
   }
 
-  /** One broken link must not make a member suspect, so others try it too. */
-  async #checkIndirectly(member: Member): Promise<void> {
-    const helpers = this.membership.helpers(member.id, INDIRECT_CHECKS);
-    const answers = await Promise.all(
+  /**
+   * Asks other members to probe it as well, since one broken link must not make
+   * a member suspect.
+   */
+  async #probeIndirectly(member: Member): Promise<void> {
+    const helpers = this.membership.helpers(member.id, INDIRECT_PROBES);
+    const probes = await Promise.all(
       helpers.map(helper =>
         this.peers
           .probeFor(helper.peerAddress, member.peerAddress)
           .catch(() => false),
       ),
     );
-    if (!answers.some(reachable => reachable)) {
+    if (!probes.some(reachable => reachable)) {
       this.membership.onUnreachable(member.id);
     }
   }
 
-  /** Tells the decision logic of the fleet when it has changed. */
-  #place(): void {
+  /**
+   * Updates the router and the peer connections if the serving instances have
+   * changed.
+   */
+  #updatePlacement(): void {
     const { self } = this.membership;
     const instances = [...this.membership.instances].sort();
     const key = instances.join(' ');
-    if (key === this.#placed) {
+    if (key === this.#placedFleet) {
       return;
     }
-    this.#placed = key;
+    this.#placedFleet = key;
     const { instance, failureDomain } = self;
     this.host.router.place({ instance, failureDomain, instances });
     this.peers.keepOnly(
@@ -139,13 +158,13 @@
     );
   }
 
-  #observe(): void {
+  #recordStates(): void {
     const { members } = this.membership;
     STATES.forEach(state => {
       const count = members.filter(member => member.state === state).length;
       this.metrics.members.set({ state }, count);
     });
-    this.#watch.look(members).forEach(change => {
+    this.#stateWatch.look(members).forEach(change => {
       this.log.write('memberChanged', { ...change });
     });
   }
--- a/packages/instance/src/state/PeerConnections.ts
+++ b/packages/instance/src/state/PeerConnections.ts
@@ -7,11 +7,11 @@
 
 import type { WriteOutcome } from '../claims/WriteBatcher.js';
 
-const CALL_TIMEOUT_MS = 900;
+const DEFAULT_TIMEOUT_MS = 900;
 const CLAIM_TIMEOUT_MS = 3000;
 const CONFIGURATION_TIMEOUT_MS = 3000;
 
-/** Channels to other instances, opened at first use. */
+/** gRPC clients for other instances, created on first use. */
 export class PeerConnections {
   readonly #clients: ClientCache<PeerClient>;
 
@@ -30,18 +30,24 @@
       client.heartbeat.bind(client),
       message,
       new Metadata(),
-      CALL_TIMEOUT_MS,
+      DEFAULT_TIMEOUT_MS,
     );
   }
 
-  /** Asks one instance to try another. */
+  /**
+   * Asks an instance to probe another one.
+   *
+   * @param helper - peer address of the instance that probes
+   * @param target - peer address of the instance that is probed
+   * @returns whether the helper reached the target
+   */
   async probeFor(helper: string, target: string): Promise<boolean> {
     const client = this.#clients.of(helper);
     const reply = await unary(
       client.probeFor.bind(client),
       { peerAddress: target },
       new Metadata(),
-      2 * CALL_TIMEOUT_MS,
+      2 * DEFAULT_TIMEOUT_MS,
     );
     return reply.reachable;
   }
@@ -55,11 +61,19 @@
       client.reportDemand.bind(client),
       report,
       new Metadata(),
-      CALL_TIMEOUT_MS,
+      DEFAULT_TIMEOUT_MS,
     );
   }
 
-  /** Has a collector write a claim; it may have been written if this fails. */
+  /**
+   * Asks a collector to write a claim.
+   *
+   * @param address - peer address of the collector
+   * @param write - claim row with its version condition
+   * @returns undefined if the row was written, else the conflicting row
+   * @throws Error if the call failed; the row may have been written
+   *   nevertheless
+   */
   async recordClaim(address: string, write: TableWrite): Promise<WriteOutcome> {
     const client = this.#clients.of(address);
     const reply = await unary(
@@ -90,7 +104,9 @@
     );
   }
 
-  /** Closes channels to instances that are no longer members. */
+  /**
+   * Closes the channels to all other addresses, which are no longer members.
+   */
   keepOnly(addresses: ReadonlySet<string>): void {
     this.#clients.keepOnly(addresses);
   }
--- a/packages/instance/src/state/ShareLoop.ts
+++ b/packages/instance/src/state/ShareLoop.ts
@@ -8,21 +8,29 @@
 import type { PeerConnections } from './PeerConnections.js';
 
 const PERIOD_MS = 1000;
-/** Owners that hear of this instance in one period, whatever the demand. */
-const MAX_OWNERS = 4;
-/** Demands in one report. */
-const MAX_DEMANDS = 32;
-const FORGET_EVERY_PERIODS = 10;
+/** Owners that this instance reports to in one period, regardless of demand. */
+const MAX_OWNERS_PER_PERIOD = 4;
+const MAX_DEMANDS_PER_REPORT = 32;
+const FORGET_INTERVAL_PERIODS = 10;
 
-/** Keeps this instance's shares of limits, and those of organisations it owns. */
+/**
+ * Distributes the limits of organisations over the instances.
+ *
+ * Each period, an instance reports its demand to the owners of organisations
+ * and receives its shares in return. It also computes the shares of the
+ * organisations that it owns itself.
+ */
 export class ShareLoop {
   readonly #ledger = new DemandLedger();
   #timer: NodeJS.Timeout | null = null;
   #period = 0;
   #ring = new OwnerRing([]);
-  #fleet = '';
-  /** Owners reported to last, so that all get their turn. */
-  #turn = 0;
+  #ringMembers = '';
+  /**
+   * Where the rotation over the owners continues when there are too many for
+   * one period.
+   */
+  #nextOwnerIndex = 0;
 
   constructor(
     private readonly membership: Membership,
@@ -32,7 +40,7 @@
 
   start(): void {
     this.#timer = setInterval(() => {
-      this.#report();
+      this.#reportPeriod();
     }, PERIOD_MS);
   }
 
@@ -42,7 +50,12 @@
     }
   }
 
-  /** Owner's side: takes a report and answers with the reporter's shares. */
+  /**
+   * Handles a demand report as the owner of the reported organisations.
+   *
+   * @param report - demand at the reporting instance
+   * @returns the reporter's shares, as far as they can be determined
+   */
   onReport(report: proto.DemandReport): proto.Share[] {
     const instances = this.membership.instances.length;
     const nowMs = this.host.router.board.clock();
@@ -60,36 +73,36 @@
     });
   }
 
-  #report(): void {
+  #reportPeriod(): void {
     const { limits, clock } = this.host.router.board;
     const instances = this.membership.instances;
-    const hot = limits.closePeriod(instances.length, clock());
-    const byOwner = this.#byOwner(hot, this.#ringOf(instances));
-    this.#ofThisPeriod([...byOwner.keys()]).forEach(owner => {
+    const demands = limits.closePeriod(instances.length, clock());
+    const byOwner = this.#groupByOwner(demands, this.#ringOf(instances));
+    this.#selectOwners([...byOwner.keys()]).forEach(owner => {
       void this.#reportTo(owner, byOwner.get(owner) ?? []);
     });
     this.#period += 1;
-    if (this.#period % FORGET_EVERY_PERIODS === 0) {
+    if (this.#period % FORGET_INTERVAL_PERIODS === 0) {
       this.#ledger.forget(clock());
     }
   }
 
-  /** The ring is built anew only when the fleet has changed. */
+  /** The ring of these instances, rebuilt only when they have changed. */
   #ringOf(instances: readonly InstanceId[]): OwnerRing {
-    const fleet = [...instances].sort().join(' ');
-    if (fleet !== this.#fleet) {
-      this.#fleet = fleet;
+    const members = [...instances].sort().join(' ');
+    if (members !== this.#ringMembers) {
+      this.#ringMembers = members;
       this.#ring = new OwnerRing(instances);
     }
     return this.#ring;
   }
 
-  #byOwner(
-    hot: readonly Demand[],
+  #groupByOwner(
+    demands: readonly Demand[],
     ring: OwnerRing,
   ): ReadonlyMap<InstanceId, readonly Demand[]> {
     const byOwner = new Map<InstanceId, Demand[]>();
-    hot.forEach(demand => {
+    demands.forEach(demand => {
       const owner = ring.ownerOf(demand.organisation);
       if (owner !== undefined) {
         byOwner.set(owner, [...(byOwner.get(owner) ?? []), demand]);
@@ -98,15 +111,15 @@
     return byOwner;
   }
 
-  #ofThisPeriod(owners: readonly InstanceId[]): readonly InstanceId[] {
-    if (owners.length <= MAX_OWNERS) {
+  #selectOwners(owners: readonly InstanceId[]): readonly InstanceId[] {
+    if (owners.length <= MAX_OWNERS_PER_PERIOD) {
       return owners;
     }
-    const start = this.#turn % owners.length;
-    this.#turn += MAX_OWNERS;
+    const start = this.#nextOwnerIndex % owners.length;
+    this.#nextOwnerIndex += MAX_OWNERS_PER_PERIOD;
     return [...owners.slice(start), ...owners.slice(0, start)].slice(
       0,
-      MAX_OWNERS,
+      MAX_OWNERS_PER_PERIOD,
     );
   }
 
@@ -116,16 +129,18 @@
   ): Promise<void> {
     const report: proto.DemandReport = {
       instance: this.membership.self.instance,
-      demands: demands.slice(0, MAX_DEMANDS).map(demand => ({ ...demand })),
+      demands: demands
+        .slice(0, MAX_DEMANDS_PER_REPORT)
+        .map(demand => ({ ...demand })),
     };
     try {
-      this.#take(await this.#send(owner, report));
+      this.#applyShares(await this.#sendReport(owner, report));
     } catch {
-      // The share in force stays until its lease ends.
+      // The current shares remain valid until their leases expire.
     }
   }
 
-  async #send(
+  async #sendReport(
     owner: InstanceId,
     report: proto.DemandReport,
   ): Promise<readonly proto.Share[]> {
@@ -139,7 +154,7 @@
     return (await this.peers.reportDemand(member.peerAddress, report)).shares;
   }
 
-  #take(shares: readonly proto.Share[]): void {
+  #applyShares(shares: readonly proto.Share[]): void {
     const { limits, clock } = this.host.router.board;
     shares.forEach(({ organisation, share }) => {
       limits.grant(brand<OrganisationId>(organisation), share, clock());
--- a/packages/instance/tests/catalogues.test.ts
+++ b/packages/instance/tests/catalogues.test.ts
@@ -6,17 +6,17 @@
 import type { ResultCode } from '@jujubecroft/types';
 import { RESULT_CODES } from '@jujubecroft/types';
 
-const docs = path.resolve(import.meta.dirname, '../../../docs');
-const page = (name: string): string =>
-  readFileSync(path.join(docs, name), 'utf8').replaceAll(/ +/g, ' ');
+const DOCS_PATH = path.resolve(import.meta.dirname, '../../../docs');
+const readPage = (name: string): string =>
+  readFileSync(path.join(DOCS_PATH, name), 'utf8').replaceAll(/ +/g, ' ');
 
-/** Table rows that begin with a number. */
+/** Numbers in the first column of the page's tables. */
 const numbersIn = (text: string): readonly number[] =>
   [...text.matchAll(/^\| (\d+) \|/gm)].map(match => Number(match[1]));
 
-describe('catalogues', ({ it }) => {
-  it('lists every result code as it is in the code, and no other', t => {
-    const text = page('ERRORS.md');
+describe('documented catalogues', ({ it }) => {
+  it('docs/ERRORS.md lists exactly the result codes, with the same values', t => {
+    const text = readPage('ERRORS.md');
     const codes: [string, ResultCode][] = Object.entries(RESULT_CODES);
     codes.forEach(([id, row]) => {
       const { number, httpStatus, ran, summary, action } = row;
@@ -28,8 +28,8 @@
     t.deepEqual([...numbersIn(text)].sort(), [...numbers].sort());
   });
 
-  it('lists every log event as it is in the code, and no other', t => {
-    const text = page('EVENTS.md');
+  it('docs/EVENTS.md lists exactly the log events, with the same values', t => {
+    const text = readPage('EVENTS.md');
     const events: [string, LogEvent][] = Object.entries(LOG_EVENTS);
     events.forEach(([id, { number, level, summary }]) => {
       const line = `| ${number} | \`${id}\` | ${level} | ${summary} |`;
--- a/packages/instance/tests/claims/ClaimBook.test.ts
+++ b/packages/instance/tests/claims/ClaimBook.test.ts
@@ -6,25 +6,27 @@
 
 import { ClaimBook, WriteBatcher } from '../../src/index.js';
 
-const ORG = brand<OrganisationId>('org');
+const ORGANISATION = brand<OrganisationId>('org');
 const KEY = brand<IdempotencyKey>('key');
 const REPLY = { status: 201, headers: {}, bodyBase64: 'b2s=' };
 
-/** A table whose calls can be made to fail before or after their effect. */
+/**
+ * A table whose writes can be made to fail before or after they take effect.
+ */
 class FaultyTable implements TableStore {
   readonly table = new Table();
-  transactions = 0;
+  transactionCount = 0;
   mode: 'down' | 'ok' | 'replyLost' = 'ok';
-  readsFail = false;
+  failReads = false;
 
   readonly get: TableStore['get'] = key =>
-    this.readsFail ? this.#fail() : Promise.resolve(this.table.get(key));
+    this.failReads ? this.#fail() : Promise.resolve(this.table.get(key));
   readonly scan: TableStore['scan'] = options =>
     Promise.resolve(this.table.scan(options));
   readonly transact: TableStore['transact'] = (
     writes: readonly TableWrite[],
   ) => {
-    this.transactions += 1;
+    this.transactionCount += 1;
     if (this.mode === 'down') {
       return this.#fail();
     }
@@ -37,12 +39,12 @@
   }
 }
 
-function bookOn(table: TableStore, clock = () => 0): ClaimBook {
+function createClaimStore(table: TableStore, clock = () => 0): ClaimBook {
   const batcher = new WriteBatcher(table, () => 0);
   return new ClaimBook(table, write => batcher.write(write), clock);
 }
 
-async function codeOf(work: Promise<unknown>): Promise<string> {
+async function outcomeOf(work: Promise<unknown>): Promise<string> {
   try {
     await work;
     return 'none';
@@ -52,14 +54,15 @@
 }
 
 describe('ClaimBook', suite => {
-  suite.describe('repeats', ({ it }) => {
-    it('lets one of two instances run a key', async t => {
-      // A price is changed twice. The caller's first call hung, so it repeated
-      // it at another instance while the first was still at work.
+  suite.describe('repeated requests', ({ it }) => {
+    it('lets only one of two instances claim a key', async t => {
+      // Guards against running a request twice: the caller's first call hung,
+      // and the caller repeated it at another instance while the first was in
+      // flight.
       const table = new FaultyTable();
       const results = await Promise.all([
-        bookOn(table).claim(ORG, KEY, 'a'),
-        bookOn(table).claim(ORG, KEY, 'b'),
+        createClaimStore(table).claim(ORGANISATION, KEY, 'a'),
+        createClaimStore(table).claim(ORGANISATION, KEY, 'b'),
       ]);
       t.deepEqual(results.map(({ kind }) => kind).sort(), [
         'claimed',
@@ -67,124 +70,145 @@
       ]);
     });
 
-    it('gives the stored reply to a repeat elsewhere', async t => {
+    it('returns the stored reply to a repeat at another instance', async t => {
       const table = new FaultyTable();
-      const first = bookOn(table);
-      await first.claim(ORG, KEY, 'a');
-      await first.complete(ORG, KEY, 'a', REPLY);
-      const repeat = await bookOn(table).claim(ORG, KEY, 'b');
+      const first = createClaimStore(table);
+      await first.claim(ORGANISATION, KEY, 'a');
+      await first.complete(ORGANISATION, KEY, 'a', REPLY);
+      const repeat = await createClaimStore(table).claim(
+        ORGANISATION,
+        KEY,
+        'b',
+      );
       t.deepEqual(repeat, { kind: 'done', reply: REPLY });
     });
 
-    it('refuses a repeat whose reply was too large to keep', async t => {
+    it('reports a repeat as done without a reply that was too large to store', async t => {
       const table = new FaultyTable();
-      const book = bookOn(table);
-      await book.claim(ORG, KEY, 'a');
+      const book = createClaimStore(table);
+      await book.claim(ORGANISATION, KEY, 'a');
       const bodyBase64 = 'A'.repeat(10_000);
-      await book.complete(ORG, KEY, 'a', { ...REPLY, bodyBase64 });
-      t.deepEqual(await book.claim(ORG, KEY, 'b'), {
+      await book.complete(ORGANISATION, KEY, 'a', { ...REPLY, bodyBase64 });
+      t.deepEqual(await book.claim(ORGANISATION, KEY, 'b'), {
         kind: 'done',
         reply: null,
       });
     });
 
-    it('lets a key run after its claim was given back', async t => {
+    it('lets a key be claimed again after its claim was released', async t => {
       const table = new FaultyTable();
-      const book = bookOn(table);
-      await book.claim(ORG, KEY, 'a');
-      await book.release(ORG, KEY);
-      t.is((await book.claim(ORG, KEY, 'b')).kind, 'claimed');
+      const book = createClaimStore(table);
+      await book.claim(ORGANISATION, KEY, 'a');
+      await book.release(ORGANISATION, KEY);
+      t.is((await book.claim(ORGANISATION, KEY, 'b')).kind, 'claimed');
     });
 
-    it('keeps organisations with equal keys apart', async t => {
-      const book = bookOn(new FaultyTable());
-      await book.claim(ORG, KEY, 'a');
+    it('keeps equal keys of different organisations apart', async t => {
+      const book = createClaimStore(new FaultyTable());
+      await book.claim(ORGANISATION, KEY, 'a');
       const other = await book.claim(brand<OrganisationId>('other'), KEY, 'b');
       t.is(other.kind, 'claimed');
     });
   });
 
-  suite.describe('store faults', ({ it }) => {
-    it('recognises its own claim when only the reply was lost', async t => {
-      // A visit sync is refused as a duplicate of itself. Its claim took effect
-      // in the table but the reply to it never came.
+  suite.describe('table faults', ({ it }) => {
+    it('recognises its own claim when only the reply of the table was lost', async t => {
+      // Guards against refusing a request as a duplicate of itself: its claim
+      // was written, but the reply of the table was lost.
       const table = new FaultyTable();
       table.mode = 'replyLost';
-      t.is((await bookOn(table).claim(ORG, KEY, 'a')).kind, 'claimed');
+      t.is(
+        (await createClaimStore(table).claim(ORGANISATION, KEY, 'a')).kind,
+        'claimed',
+      );
     });
 
-    it('refuses as not run while the table is down', async t => {
+    it('refuses a claim as not run while the table is down', async t => {
       const table = new FaultyTable();
       table.mode = 'down';
       t.is(
-        await codeOf(bookOn(table).claim(ORG, KEY, 'a')),
+        await outcomeOf(createClaimStore(table).claim(ORGANISATION, KEY, 'a')),
         'claimUnavailable no',
       );
     });
 
-    it('gives back a claim of unknown fate when the table returns', async t => {
-      // A key stays refused for ever although nothing ran. The claim had taken
-      // effect, both the reply and the read after it were lost, and the request
-      // was refused as not run.
+    it('releases an unconfirmed claim once the table is available again', async t => {
+      // Guards against a key that is refused forever although nothing ran: the
+      // claim was written, but its reply and the read after it failed, and the
+      // request was refused as not run.
       const table = new FaultyTable();
-      const book = bookOn(table);
+      const book = createClaimStore(table);
       table.mode = 'replyLost';
-      table.readsFail = true;
-      t.is(await codeOf(book.claim(ORG, KEY, 'a')), 'claimUnavailable no');
+      table.failReads = true;
+      t.is(
+        await outcomeOf(book.claim(ORGANISATION, KEY, 'a')),
+        'claimUnavailable no',
+      );
       table.mode = 'ok';
-      table.readsFail = false;
-      await book.releaseAbandoned();
-      t.is((await book.claim(ORG, KEY, 'b')).kind, 'claimed');
+      table.failReads = false;
+      await book.releaseUnconfirmed();
+      t.is((await book.claim(ORGANISATION, KEY, 'b')).kind, 'claimed');
     });
 
-    it('waits for a claim that lands after its request was refused', async t => {
-      // A key stays refused for ever although nothing ran. The collector that
-      // wrote the claim was slow, so the row came after the first look for it.
+    it('releases a claim that is written after its request was refused', async t => {
+      // Guards against a key that is refused forever although nothing ran: the
+      // collector was slow and wrote the claim after the first attempt to
+      // release it.
       const table = new FaultyTable();
-      const late: (() => void)[] = [];
+      const delayedWrites: (() => void)[] = [];
       const book = new ClaimBook(
         table,
         write => {
-          late.push(() => {
+          delayedWrites.push(() => {
             table.table.transact([write]);
           });
           return Promise.reject(routerError('platformUnavailable', 'slow'));
         },
         () => 0,
       );
-      t.is(await codeOf(book.claim(ORG, KEY, 'a')), 'claimUnavailable no');
-      await book.releaseAbandoned();
-      late.forEach(land => {
-        land();
+      t.is(
+        await outcomeOf(book.claim(ORGANISATION, KEY, 'a')),
+        'claimUnavailable no',
+      );
+      await book.releaseUnconfirmed();
+      delayedWrites.forEach(apply => {
+        apply();
       });
-      await book.releaseAbandoned();
-      t.is((await bookOn(table).claim(ORG, KEY, 'b')).kind, 'claimed');
+      await book.releaseUnconfirmed();
+      t.is(
+        (await createClaimStore(table).claim(ORGANISATION, KEY, 'b')).kind,
+        'claimed',
+      );
     });
 
-    it('does not give back a claim that another request made since', async t => {
+    it('does not release a claim that another request made in the meantime', async t => {
       const table = new FaultyTable();
-      const book = bookOn(table);
+      const book = createClaimStore(table);
       table.mode = 'down';
-      table.readsFail = true;
-      await codeOf(book.claim(ORG, KEY, 'a'));
+      table.failReads = true;
+      await outcomeOf(book.claim(ORGANISATION, KEY, 'a'));
       table.mode = 'ok';
-      table.readsFail = false;
-      await bookOn(table).claim(ORG, KEY, 'b');
-      await book.releaseAbandoned();
-      t.is((await book.claim(ORG, KEY, 'c')).kind, 'inProgress');
+      table.failReads = false;
+      await createClaimStore(table).claim(ORGANISATION, KEY, 'b');
+      await book.releaseUnconfirmed();
+      t.is((await book.claim(ORGANISATION, KEY, 'c')).kind, 'inProgress');
     });
   });
 
-  suite.describe('cost', ({ it }) => {
-    it('shares transactions between claims that come together', async t => {
+  suite.describe('batching', ({ it }) => {
+    it('writes concurrent claims in shared transactions', async t => {
       const table = new FaultyTable();
-      const book = bookOn(table);
+      const book = createClaimStore(table);
       const claims = Array.from({ length: 65 }, (_, index) =>
-        book.claim(ORG, brand<IdempotencyKey>(`k${index}`), `${index}`),
+        book.claim(
+          ORGANISATION,
+          brand<IdempotencyKey>(`k${index}`),
+          `${index}`,
+        ),
       );
       const results = await Promise.all(claims);
       t.true(results.every(({ kind }) => kind === 'claimed'));
-      t.is(table.transactions, 2);
+      t.is(table.transactionCount, 2);
     });
   });
 });
--- a/packages/instance/tests/claims/ClaimCollectors.test.ts
+++ b/packages/instance/tests/claims/ClaimCollectors.test.ts
@@ -16,21 +16,21 @@
   peerAddress: `entry-${index}:7400`,
 });
 
-/** Hears which collector a claim is sent to, without a connection. */
-class RecordedPeers extends PeerConnections {
-  readonly sentTo: string[] = [];
+/** Records the collector to which each claim is sent, without a connection. */
+class RecordingPeers extends PeerConnections {
+  readonly recipients: string[] = [];
 
   constructor() {
     super(credentials.createInsecure());
   }
 
   override recordClaim(address: string): Promise<undefined> {
-    this.sentTo.push(address);
+    this.recipients.push(address);
     return Promise.resolve(undefined);
   }
 }
 
-function collectorsAt(self: number, size: number) {
+function createCollectors(self: number, size: number) {
   const membership = new Membership(factsOf(self), () => 0, createRandom(1));
   membership.onList(
     Array.from({ length: size }, (_, index) => ({
@@ -48,34 +48,38 @@
     },
     () => 0,
   );
-  const peers = new RecordedPeers();
+  const peers = new RecordingPeers();
   const collectors = new ClaimCollectors(membership, peers, () => batcher);
   return { collectors, peers, table };
 }
 
-const claim = (key: string): TableWrite => ({ key, value: {}, ifVersion: 0 });
+const claimWrite = (key: string): TableWrite => ({
+  key,
+  value: {},
+  ifVersion: 0,
+});
 
 describe('ClaimCollectors', ({ it }) => {
-  it('writes for itself in a small fleet', async t => {
-    const { collectors, peers, table } = collectorsAt(0, 8);
-    t.is(await collectors.write(claim('claim/a/1')), undefined);
+  it('writes claims directly in a small fleet', async t => {
+    const { collectors, peers, table } = createCollectors(0, 8);
+    t.is(await collectors.write(claimWrite('claim/a/1')), undefined);
     t.not(table.get('claim/a/1'), null);
-    t.deepEqual(peers.sentTo, []);
-    t.is(collectors.paceMs(), 40);
+    t.deepEqual(peers.recipients, []);
+    t.is(collectors.batchPauseMs(), 40);
   });
 
-  it('sends a key to the same collector from every instance', async t => {
+  it('sends a key to the same collector from every instance of a large fleet', async t => {
     const keys = Array.from({ length: 40 }, (_, index) => `claim/a/${index}`);
     const routes = await Promise.all(
       [0, 100, 369].map(async self => {
-        const { collectors, peers, table } = collectorsAt(self, 370);
+        const { collectors, peers, table } = createCollectors(self, 370);
         for (const key of keys) {
-          await collectors.write(claim(key));
+          await collectors.write(claimWrite(key));
           if (table.get(key)) {
-            peers.sentTo.push(`entry-${self}:7400`);
+            peers.recipients.push(`entry-${self}:7400`);
           }
         }
-        return peers.sentTo;
+        return peers.recipients;
       }),
     );
     t.deepEqual(routes[0], routes[1]);
@@ -83,10 +87,10 @@
     t.true(new Set(routes[0]).size > 8);
   });
 
-  it('keeps the writes of the whole fleet within the budget of the table', t => {
+  it('keeps the claim transactions of the whole fleet within their limit per second', t => {
     [1, 8, 16, 64, 370].forEach(size => {
-      const { collectors } = collectorsAt(0, size);
-      const perSecond = (1000 / collectors.paceMs()) * Math.min(16, size);
+      const { collectors } = createCollectors(0, size);
+      const perSecond = (1000 / collectors.batchPauseMs()) * Math.min(16, size);
       t.true(perSecond <= 200.001, `${size}: ${perSecond}`);
     });
   });
