--- a/packages/cli/src/commands/ConfigCheckCommand.ts
+++ b/packages/cli/src/commands/ConfigCheckCommand.ts
@@ -6,13 +6,13 @@
 
 import { EXIT } from '../exitCodes.js';
 
-/** Checks a settings file and lists every fault. */
+/** Validates a settings file and lists every fault. */
 export class ConfigCheckCommand extends Command {
   static override paths = [['config', 'check']];
   static override usage = Command.Usage({
     description: 'check a settings file',
     details:
-      'Lists each fault with line, path and what is expected. Takes settings of every kind, and those that the platform gives a process. Exit code 3 when there is a fault.',
+      'Lists each fault with line, path and what is expected. Accepts settings of every kind, including those that the platform gives to a process. Exits with 3 if there is a fault.',
     examples: [['Check a file', '$0 config check instance.jsonc']],
   });
 
@@ -20,15 +20,15 @@
 
   async execute(): Promise<number> {
     const text = readFileSync(this.file, 'utf8');
-    // Loaded here, so that other commands need no memory for it.
+    // Imported on demand, so that other commands do not hold it in memory.
     const { isPlatformSettings, readPlatformSettings } =
       await import('@jujubecroft/platform');
     return isPlatformSettings(text)
-      ? this.#tell(readPlatformSettings(text))
-      : this.#checkOwn(text);
+      ? this.#reportPlatformSettings(readPlatformSettings(text))
+      : this.#checkJujubecroftSettings(text);
   }
 
-  #tell(result: CheckedRead<PlatformSettings>): number {
+  #reportPlatformSettings(result: CheckedRead<PlatformSettings>): number {
     if (result.ok) {
       this.context.stdout.write(`${this.file}: platform settings, ok\n`);
       return EXIT.ok;
@@ -41,7 +41,7 @@
     return EXIT.badSettings;
   }
 
-  #checkOwn(text: string): number {
+  #checkJujubecroftSettings(text: string): number {
     const result = parseSettings(text);
     if (result.ok) {
       this.context.stdout.write(`${this.file}: ${result.settings.kind}, ok\n`);
--- a/packages/cli/src/commands/DemoCommand.ts
+++ b/packages/cli/src/commands/DemoCommand.ts
@@ -3,22 +3,23 @@
 
 import { EXIT } from '../exitCodes.js';
 
-/** Shows the whole path at work in one process. */
+/** Demonstrates the whole request path in one process. */
 export class DemoCommand extends Command {
   static override paths = [['demo']];
   static override usage = Command.Usage({
-    description: 'watch a small fleet through a burst and an engine crash',
+    description:
+      'run a small fleet through a burst of load and an engine crash',
     details:
-      'Starts everything in one process on loopback, ends by itself and prints a table by class. Exit code 4 when a promise was broken.',
+      'Starts everything in one process on loopback, stops by itself and prints a table of results by request class. Exits with 4 if a promise was broken.',
     examples: [['Run the demo', '$0 demo']],
   });
 
   readonly seconds = Option.String('--seconds', '12', {
-    description: 'length of the load',
+    description: 'duration of the load, in seconds',
     validator: cascade(isNumber(), isPositive()),
   });
   readonly seed = Option.String('--seed', '1', {
-    description: 'seed of the load',
+    description: 'random seed of the load',
     validator: cascade(isNumber(), isInteger()),
   });
 
--- a/packages/cli/src/commands/ExplainCommand.ts
+++ b/packages/cli/src/commands/ExplainCommand.ts
@@ -4,13 +4,13 @@
 
 import { EXIT } from '../exitCodes.js';
 
-/** Tells the story of one request from logs. */
+/** Explains from logs what happened to one request. */
 export class ExplainCommand extends Command {
   static override paths = [['explain']];
   static override usage = Command.Usage({
-    description: 'tell the story of one request from logs',
+    description: 'explain from logs what happened to one request',
     details:
-      'Reads log lines of any number of instances from standard input and prints each decision on the request with the numbers it was made from, and why it ended as it did. Exit code 1 when no line names the request.',
+      'Reads log lines of any number of instances from standard input. Prints each decision about the request with the figures it was based on, and the cause of the outcome. Exits with 1 if no line names the request.',
     examples: [['From collected logs', 'cat logs/* | $0 explain 9c41d07b']],
   });
 
--- a/packages/cli/src/commands/GatewayCommand.ts
+++ b/packages/cli/src/commands/GatewayCommand.ts
@@ -3,11 +3,11 @@
 import type { HeldConnections } from '@jujubecroft/gateway/early';
 
 import { EXIT } from '../exitCodes.js';
-import { untilStopped } from '../untilStopped.js';
+import { waitForStopSignal } from '../waitForStopSignal.js';
 
-/** What a program that starts the gateway at once hands to its command. */
+/** Context that the program with only the gateway command passes to it. */
 export interface GatewayCommandContext extends BaseContext {
-  /** Connections of callers that came while the program was loaded. */
+  /** Connections of callers that arrived while the program was loading. */
   readonly held?: HeldConnections | null;
 }
 
@@ -17,7 +17,7 @@
   static override usage = Command.Usage({
     description: 'run one instance of the gateway on the platform',
     details:
-      'Reads the settings file that the platform names in the environment, or the one given. SIGHUP reads it again. SIGTERM takes the instance out of service, finishes every request in flight and ends.',
+      'Reads the settings file given by --settings or, without it, by the environment variable that the platform sets. SIGHUP reloads the file. On SIGTERM the instance leaves service, finishes every request in flight and exits.',
     examples: [
       ['Run as the platform does', '$0 gateway'],
       ['Run with another file', '$0 gateway --settings local.json'],
@@ -30,17 +30,17 @@
 
   readonly peerAddress = Option.String('--peer-address', {
     description:
-      'host and port at which other instances reach this one, where they differ from those it listens on',
+      'host and port at which other instances reach this one, if they differ from those it listens on',
   });
 
   async execute(): Promise<number> {
-    // Loaded here, so that other commands need no memory for it.
+    // Imported on demand, so that other commands do not hold it in memory.
     const { runGateway, SETTINGS_VARIABLE } =
       await import('@jujubecroft/platform');
     const file = this.settings ?? process.env[SETTINGS_VARIABLE];
     if (file === undefined) {
       this.context.stderr.write(
-        `Name a settings file with --settings or in ${SETTINGS_VARIABLE}.\n`,
+        `No settings file given; pass --settings or set ${SETTINGS_VARIABLE}.\n`,
       );
       return EXIT.usage;
     }
@@ -49,7 +49,7 @@
       held: this.context.held ?? null,
     });
     process.on('SIGHUP', gateway.reload);
-    await untilStopped();
+    await waitForStopSignal();
     await gateway.stop();
     return EXIT.ok;
   }
--- a/packages/cli/src/commands/LoadCommand.ts
+++ b/packages/cli/src/commands/LoadCommand.ts
@@ -5,21 +5,22 @@
 
 import { EXIT } from '../exitCodes.js';
 
-const TICK_MS = 500;
+const PROGRESS_INTERVAL_MS = 500;
 const MS_PER_SECOND = 1000;
 
-/** Sends open-loop load to running instances. */
+/** Sends open-loop load to running instances and reports the results. */
 export class LoadCommand extends Command {
   static override paths = [['load']];
   static override usage = Command.Usage({
     description: 'send open-loop load to running instances',
-    details: 'Streams are Poisson with optional bursts; see examples/.',
+    details:
+      'Requests arrive as Poisson processes with optional bursts; see examples/.',
     examples: [['Run a load', '$0 load load.jsonc']],
   });
 
   readonly file = Option.String({ name: 'config' });
   readonly json = Option.Boolean('--json', false, {
-    description: 'print figures in JSON',
+    description: 'print the figures as JSON',
   });
 
   async execute(): Promise<number> {
@@ -36,7 +37,7 @@
     const timer = setInterval(() => {
       const seconds = Math.floor((Date.now() - startMs) / MS_PER_SECOND);
       bar.update(Math.min(seconds, settings.seconds), { calls: calls.length });
-    }, TICK_MS);
+    }, PROGRESS_INTERVAL_MS);
     await new LoadRunner(settings, call => {
       calls.push(call);
     }).run();
--- a/packages/cli/src/commands/OperatorCommand.ts
+++ b/packages/cli/src/commands/OperatorCommand.ts
@@ -5,7 +5,7 @@
 
 import { EXIT } from '../exitCodes.js';
 
-/** What every operator command shares: connection, token, output. */
+/** Base of the operator commands: connection, token and output. */
 export abstract class OperatorCommand extends Command {
   readonly address = Option.String('--address', '127.0.0.1:7400', {
     description: 'control address of any instance',
@@ -16,15 +16,18 @@
     env: 'JUJUBECROFT_TOKEN',
   });
   readonly json = Option.Boolean('--json', false, {
-    description: 'print JSON',
+    description: 'print the result as JSON',
   });
   readonly caFile = Option.String('--ca', {
-    description: 'CA of the control server; with --cert and --key',
+    description:
+      'file with the CA certificate of the control server; enables TLS, used with --cert and --key',
   });
   readonly certFile = Option.String('--cert', {
-    description: 'own certificate',
+    description: 'file with the client certificate',
+  });
+  readonly keyFile = Option.String('--key', {
+    description: 'file with the private key of the client certificate',
   });
-  readonly keyFile = Option.String('--key', { description: 'own key' });
 
   async execute(): Promise<number> {
     const connection = this.#connect();
@@ -42,7 +45,12 @@
 
   protected abstract run(connection: OperatorConnection): Promise<void>;
 
-  /** Prints JSON on request, else the lines for a person. */
+  /**
+   * Prints a result.
+   *
+   * @param value - the result, printed with `--json`
+   * @param lines - the result as readable text, printed otherwise
+   */
   protected print(value: unknown, lines: readonly string[]): void {
     const text = this.json ? JSON.stringify(value, null, 2) : lines.join('\n');
     this.context.stdout.write(`${text}\n`);
--- a/packages/cli/src/commands/ReportCommand.ts
+++ b/packages/cli/src/commands/ReportCommand.ts
@@ -5,40 +5,43 @@
 import { readLogLines, summariseLines } from '@jujubecroft/events';
 
 import { EXIT } from '../exitCodes.js';
-import { dayTables } from '../report/dayTables.js';
-import { plotDay } from '../report/plotDay.js';
+import { summaryTables } from '../report/summaryTables.js';
+import { plotWindows } from '../report/plotWindows.js';
 
-/** Long enough for some dozen requests of a route, short enough to see a burst. */
+/**
+ * Long enough to hold a few dozen requests of a route, short enough to show a
+ * burst.
+ */
 const DEFAULT_WINDOW_S = '4';
 
-/** Sums up logs by route and window of time. */
+/** Summarises logs by route and time window. */
 export class ReportCommand extends Command {
   static override paths = [['report']];
   static override usage = Command.Usage({
-    description: 'sum up logs by route and window of time',
+    description: 'summarise logs by route and time window',
     details:
-      'Reads log lines of any number of instances from standard input and prints, for each route and window, how requests ended, how late they were and for which reason, and how far predictions were off. Exit code 1 when no line tells of a request.',
+      'Reads log lines of any number of instances from standard input. Prints for each route and time window how requests ended, how many missed their targets and in which way, and how far predictions were off. Exits with 1 if no line belongs to a request.',
     examples: [
       ['With a plot', 'cat logs/* | $0 report --window-s 4 --plot day.svg'],
     ],
   });
 
   readonly windowS = Option.String('--window-s', DEFAULT_WINDOW_S, {
-    description: 'length of a window, in seconds',
+    description: 'length of a time window, in seconds',
     validator: t.cascade(t.isNumber(), [t.isPositive()]),
   });
 
   readonly plot = Option.String('--plot', {
-    description: 'file for a plot of the same, as SVG',
+    description: 'file for a plot of the time windows, in SVG',
   });
 
   async execute(): Promise<number> {
     const lines = readLogLines(await text(this.context.stdin));
-    const day = summariseLines(lines, this.windowS);
-    this.context.stdout.write(dayTables(day));
+    const summary = summariseLines(lines, this.windowS);
+    this.context.stdout.write(summaryTables(summary));
     if (this.plot !== undefined) {
-      await writeFile(this.plot, await plotDay(day.windows));
+      await writeFile(this.plot, await plotWindows(summary.windows));
     }
-    return day.windows.length > 0 ? EXIT.ok : EXIT.failed;
+    return summary.windows.length > 0 ? EXIT.ok : EXIT.failed;
   }
 }
--- a/packages/cli/src/commands/StandInCommand.ts
+++ b/packages/cli/src/commands/StandInCommand.ts
@@ -3,7 +3,7 @@
 import type { RunningServer } from '@jujubecroft/stand-ins';
 
 import { EXIT } from '../exitCodes.js';
-import { untilStopped } from '../untilStopped.js';
+import { waitForStopSignal } from '../waitForStopSignal.js';
 
 const STARTERS: Readonly<
   Record<string, (file: string) => Promise<RunningServer>>
@@ -22,27 +22,28 @@
   },
 };
 
-/** Runs a stand-in for a system that jujubecroft meets. */
+/** Runs a stand-in for an external system that jujubecroft talks to. */
 export class StandInCommand extends Command {
   static override paths = [['stand-in']];
   static override usage = Command.Usage({
     description: 'run a stand-in: engine, service or platform',
-    details: 'For trying things out; see docs/STAND-INS.md for fault switches.',
+    details:
+      'For trials without the real systems; docs/STAND-INS.md describes the fault switches.',
     examples: [['Run an engine', '$0 stand-in engine engine.jsonc']],
   });
 
-  readonly what = Option.String({ name: 'engine|service|platform' });
+  readonly system = Option.String({ name: 'engine|service|platform' });
   readonly file = Option.String({ name: 'config' });
 
   async execute(): Promise<number> {
-    const start = STARTERS[this.what];
+    const start = STARTERS[this.system];
     if (!start) {
-      this.context.stderr.write(`no stand-in "${this.what}"\n`);
+      this.context.stderr.write(`unknown stand-in "${this.system}"\n`);
       return EXIT.usage;
     }
     const server = await start(this.file);
-    this.context.stdout.write(`${this.what} on ${server.url}\n`);
-    await untilStopped();
+    this.context.stdout.write(`${this.system} on ${server.url}\n`);
+    await waitForStopSignal();
     await server.stop();
     return EXIT.ok;
   }
--- a/packages/cli/src/commands/createGroupHelp.ts
+++ b/packages/cli/src/commands/createGroupHelp.ts
@@ -4,13 +4,13 @@
 import { EXIT } from '../exitCodes.js';
 
 /**
- * Creates the help of a group of commands, such as `ctl`.
+ * Creates a help command for a group of commands, such as `ctl`.
  *
- * Without it `ctl --help` is taken for an unknown command, as only whole commands
- * have a help of their own.
+ * Clipanion provides help for complete commands only and would reject
+ * `ctl --help` as an unknown command.
  *
  * @param group - first word of the commands
- * @returns a command that lists them
+ * @returns a command that lists the commands of the group
  */
 export function createGroupHelp(group: string): CommandClass {
   return class GroupHelpCommand extends Command {
--- a/packages/cli/src/commands/ctlChanges.ts
+++ b/packages/cli/src/commands/ctlChanges.ts
@@ -9,18 +9,19 @@
 import { parseEntity, readSettings } from '@jujubecroft/settings';
 import { routerError } from '@jujubecroft/types';
 
-import { entityKind } from '../entityKinds.js';
+import { parseEntityKind } from '../entityKinds.js';
 import { OperatorCommand } from './OperatorCommand.js';
 
-const changeIdOption = {
-  description: 'id of the change; repeating it is harmless',
+const CHANGE_ID_OPTION = {
+  description:
+    'id of the change; a repeat with the same id is not applied again',
 };
 
-/** Declares everything in a deployment file. */
+/** Declares every entity of a deployment file. */
 export class CtlApplyCommand extends OperatorCommand {
   static override paths = [['ctl', 'apply']];
   static override usage = Command.Usage({
-    description: 'declare or update every entity of a deployment file',
+    description: 'create or update every entity of a deployment file',
     examples: [['Apply a file', '$0 ctl apply deployment.jsonc']],
   });
 
@@ -37,7 +38,8 @@
 export class CtlDeclareCommand extends OperatorCommand {
   static override paths = [['ctl', 'declare']];
   static override usage = Command.Usage({
-    description: 'create an entity, or update it as seen at a revision',
+    description:
+      'create an entity, or update it if it is still at the given revision',
     examples: [
       [
         'Create a model version',
@@ -49,14 +51,18 @@
   readonly kind = Option.String({ name: 'kind' });
   readonly entity = Option.String({ name: 'json' });
   readonly seen = Option.String('--seen', '0', {
-    description: 'revision at which `ctl list` showed it; 0 creates it',
+    description:
+      'revision that `ctl list` shows for the entity; 0 to create it',
   });
-  readonly changeId = Option.String('--change-id', changeIdOption);
+  readonly changeId = Option.String('--change-id', CHANGE_ID_OPTION);
 
   protected async run(connection: OperatorConnection): Promise<void> {
-    const kind = fromProtoKind(entityKind(this.kind));
+    const kind = fromProtoKind(parseEntityKind(this.kind));
     if (!kind) {
-      throw routerError('configInvalid', 'the kind must be a single one');
+      throw routerError(
+        'configInvalid',
+        'the kind must be that of a single entity, not "all"',
+      );
     }
     const result = parseEntity(kind, JSON.parse(this.entity));
     if (!result.ok) {
@@ -75,7 +81,7 @@
 export class CtlRemoveCommand extends OperatorCommand {
   static override paths = [['ctl', 'remove']];
   static override usage = Command.Usage({
-    description: 'remove an entity as seen at a revision',
+    description: 'remove an entity if it is still at the given revision',
     examples: [['Remove', '$0 ctl remove organisation pekara-zora --seen 12']],
   });
 
@@ -83,14 +89,14 @@
   readonly id = Option.String({ name: 'id' });
   readonly seen = Option.String('--seen', {
     required: true,
-    description: 'revision at which `ctl list` showed the entity',
+    description: 'revision that `ctl list` shows for the entity',
   });
-  readonly changeId = Option.String('--change-id', changeIdOption);
+  readonly changeId = Option.String('--change-id', CHANGE_ID_OPTION);
 
   protected async run(connection: OperatorConnection): Promise<void> {
     const reply = await connection.remove({
       changeId: this.changeId ?? randomUUID(),
-      kind: entityKind(this.kind),
+      kind: parseEntityKind(this.kind),
       id: this.id,
       ifRevision: Number(this.seen),
     });
@@ -98,20 +104,20 @@
   }
 }
 
-/** Marks a backend server as leaving. */
+/** Marks a backend server as leaving, or undoes that. */
 export class CtlDrainCommand extends OperatorCommand {
   static override paths = [['ctl', 'drain']];
   static override usage = Command.Usage({
-    description: 'give a backend server no new work',
+    description: 'send no new requests to a backend server',
     examples: [
       ['Drain', '$0 ctl drain engine-3'],
-      ['Take it back', '$0 ctl drain engine-3 --undo'],
+      ['Undo', '$0 ctl drain engine-3 --undo'],
     ],
   });
 
   readonly id = Option.String({ name: 'backend-server' });
   readonly undo = Option.Boolean('--undo', false);
-  readonly changeId = Option.String('--change-id', changeIdOption);
+  readonly changeId = Option.String('--change-id', CHANGE_ID_OPTION);
 
   protected async run(connection: OperatorConnection): Promise<void> {
     const reply = await connection.drain({
--- a/packages/cli/src/commands/ctlViews.ts
+++ b/packages/cli/src/commands/ctlViews.ts
@@ -1,8 +1,8 @@
 import { Command, Option } from 'clipanion';
 import type { OperatorConnection, proto } from '@jujubecroft/operator';
 
-import { entityKind } from '../entityKinds.js';
-import { untilStopped } from '../untilStopped.js';
+import { parseEntityKind } from '../entityKinds.js';
+import { waitForStopSignal } from '../waitForStopSignal.js';
 import { OperatorCommand } from './OperatorCommand.js';
 
 /** Lists declared entities. */
@@ -16,7 +16,7 @@
   readonly kind = Option.String({ name: 'kind', required: false });
 
   protected async run(connection: OperatorConnection): Promise<void> {
-    const reply = await connection.list(entityKind(this.kind ?? 'all'));
+    const reply = await connection.list(parseEntityKind(this.kind ?? 'all'));
     this.print(
       reply,
       reply.entities.map(
@@ -48,7 +48,8 @@
 export class CtlStatusCommand extends OperatorCommand {
   static override paths = [['ctl', 'status']];
   static override usage = Command.Usage({
-    description: 'show configuration, fleet, backend servers and queues',
+    description:
+      'show revision, members, backend servers and queues of one instance',
   });
 
   protected async run(connection: OperatorConnection): Promise<void> {
@@ -57,15 +58,15 @@
   }
 }
 
-/** Reads the audit trail. */
+/** Prints the audit trail. */
 export class CtlAuditCommand extends OperatorCommand {
   static override paths = [['ctl', 'audit']];
   static override usage = Command.Usage({
-    description: 'read the audit trail, oldest first',
+    description: 'print the audit trail, oldest entries first',
   });
 
   readonly after = Option.String('--after', '0', {
-    description: 'only entries behind this revision',
+    description: 'print only entries after this revision',
   });
   readonly limit = Option.String('--limit', '100');
 
@@ -92,11 +93,11 @@
   }
 }
 
-/** Watches decisions as they happen. */
+/** Prints the decisions of one instance as they are made. */
 export class CtlWatchCommand extends OperatorCommand {
   static override paths = [['ctl', 'watch']];
   static override usage = Command.Usage({
-    description: 'watch decisions of one instance as they happen',
+    description: 'print the decisions of one instance as they are made',
     examples: [['One class', '$0 ctl watch --class recipe-costing']],
   });
 
@@ -115,7 +116,7 @@
     const failed = new Promise<void>((_resolve, reject) => {
       stream.on('error', reject);
     });
-    await Promise.race([untilStopped(), failed]);
+    await Promise.race([waitForStopSignal(), failed]);
     stream.cancel();
   }
 }
--- a/packages/cli/src/commands/experimentCommands.ts
+++ b/packages/cli/src/commands/experimentCommands.ts
@@ -6,8 +6,11 @@
 
 import { EXIT } from '../exitCodes.js';
 
-/** The experiment that measures this machine, not the policy. */
-const SLOPES = 'slopes';
+/**
+ * Name of the experiment that measures costs on this machine instead of
+ * comparing policies.
+ */
+const SLOPES_EXPERIMENT = 'slopes';
 
 /** Lists the experiments. */
 export class ExperimentListCommand extends Command {
@@ -17,7 +20,9 @@
   async execute(): Promise<number> {
     const { EXPERIMENTS, FLEET_EXPERIMENTS } =
       await import('@jujubecroft/bench');
-    this.context.stdout.write(`${SLOPES}\tslopes for docs/CAPACITY.md\n`);
+    this.context.stdout.write(
+      `${SLOPES_EXPERIMENT}\tslopes for docs/CAPACITY.md\n`,
+    );
     [...EXPERIMENTS, ...FLEET_EXPERIMENTS].forEach(({ meta }) => {
       this.context.stdout.write(`${meta.name}\t${meta.description}\n`);
     });
@@ -25,14 +30,17 @@
   }
 }
 
-/** Runs one experiment with all its arms. */
+/** Runs one experiment. */
 export class ExperimentRunCommand extends Command {
   static override paths = [['experiment', 'run']];
   static override usage = Command.Usage({
-    description: 'run an experiment, every arm on the same calls',
+    description: 'run an experiment; each of its arms gets the same calls',
     examples: [
       ['Print a table', '$0 experiment run overload-2x'],
-      ['Keep the figures', '$0 experiment run overload-2x --out result.json'],
+      [
+        'Write the figures to a file',
+        '$0 experiment run overload-2x --out result.json',
+      ],
     ],
   });
 
@@ -41,27 +49,30 @@
     validator: cascade(isNumber(), isInteger()),
   });
   readonly seconds = Option.String('--seconds', {
-    description: 'length of the load',
+    description: 'duration of the load, in seconds',
     validator: cascade(isNumber(), isPositive()),
   });
   readonly out = Option.String('--out', {
-    description: 'file for the result in JSON',
+    description: 'file for the result, in JSON',
   });
 
   readonly part = Option.String('--part', {
-    description: 'of slopes: decisions, state, heartbeats, idle or data-path',
+    description:
+      'part of slopes to run: decisions, state, heartbeats, idle or data-path',
   });
 
   async execute(): Promise<number> {
-    if (this.name === SLOPES) {
+    if (this.name === SLOPES_EXPERIMENT) {
       return this.#runSlopes();
     }
     const { FLEET_EXPERIMENTS } = await import('@jujubecroft/bench');
     const fleet = FLEET_EXPERIMENTS.find(({ meta }) => meta.name === this.name);
-    return fleet ? this.#runFleet(fleet) : this.#runVirtual();
+    return fleet
+      ? this.#runFleetExperiment(fleet)
+      : this.#runSimulatedExperiment();
   }
 
-  async #runFleet(experiment: FleetExperiment): Promise<number> {
+  async #runFleetExperiment(experiment: FleetExperiment): Promise<number> {
     const { classTable } = await import('@jujubecroft/bench');
     const result = await experiment.run({
       seed: this.seed,
@@ -73,11 +84,11 @@
     if (result.classes.length > 0) {
       this.context.stdout.write(`${classTable(result.classes)}\n`);
     }
-    this.#keep(result);
-    return this.#judge(result.brokenPromises);
+    this.#writeResult(result);
+    return this.#printBrokenPromises(result.brokenPromises);
   }
 
-  #judge(brokenPromises: readonly string[]): number {
+  #printBrokenPromises(brokenPromises: readonly string[]): number {
     brokenPromises.forEach(line => {
       this.context.stdout.write(`broken promise: ${line}\n`);
     });
@@ -94,22 +105,22 @@
       this.context.stderr.write(`${line}\n`);
     });
     this.context.stdout.write(`${slopesTable(result)}\n`);
-    this.#keep(result);
+    this.#writeResult(result);
     return EXIT.ok;
   }
 
-  #keep(result: object): void {
+  #writeResult(result: object): void {
     if (this.out !== undefined) {
       writeFileSync(this.out, `${JSON.stringify(result, null, 2)}\n`);
     }
   }
 
-  async #runVirtual(): Promise<number> {
+  async #runSimulatedExperiment(): Promise<number> {
     const { EXPERIMENTS, experimentTable, runExperiment } =
       await import('@jujubecroft/bench');
     const experiment = EXPERIMENTS.find(({ meta }) => meta.name === this.name);
     if (!experiment) {
-      this.context.stderr.write(`no experiment "${this.name}"\n`);
+      this.context.stderr.write(`unknown experiment "${this.name}"\n`);
       return EXIT.usage;
     }
     const result = runExperiment(experiment, {
@@ -117,7 +128,7 @@
       seconds: this.seconds ?? null,
     });
     this.context.stdout.write(`${experimentTable(result)}\n`);
-    this.#keep(result);
-    return this.#judge(result.arms[0]?.brokenPromises ?? []);
+    this.#writeResult(result);
+    return this.#printBrokenPromises(result.arms[0]?.brokenPromises ?? []);
   }
 }
--- a/packages/cli/src/commands/soakCommands.ts
+++ b/packages/cli/src/commands/soakCommands.ts
@@ -7,17 +7,17 @@
 
 import { EXIT } from '../exitCodes.js';
 
-const wholeNumber = cascade(isNumber(), isInteger(), isPositive());
-/** Breaches of one promise that are printed; the count tells of the rest. */
-const MAX_PRINTED = 5;
+const positiveInteger = cascade(isNumber(), isInteger(), isPositive());
+/** Breaches printed per promise; the number of all is printed with them. */
+const MAX_PRINTED_BREACHES = 5;
 
-function lines(result: SoakResult): readonly string[] {
+function formatResult(result: SoakResult): readonly string[] {
   const { seed, sent, served, refused, storeCalls, faults, verdicts, kept } =
     result;
   const kinds = [...new Set(faults.map(({ kind }) => kind))].sort();
   const broken = verdicts.flatMap(({ promise, breaches }) =>
     breaches
-      .slice(0, MAX_PRINTED)
+      .slice(0, MAX_PRINTED_BREACHES)
       .map(
         ({ request, what }) =>
           `  BROKEN ${promise} (${breaches.length}): ${request ?? '-'}: ${what}`,
@@ -29,13 +29,16 @@
   ];
 }
 
-/** Runs the programs under faults and checks what callers and replicas see. */
+/**
+ * Runs the programs as processes under random faults and checks the promises of
+ * the service.
+ */
 export class SoakCommand extends Command {
   static override paths = [['soak']];
   static override usage = Command.Usage({
     description: 'run the programs as processes under random faults',
     details:
-      'Starts gateways, backend servers and a stand-in of the store as processes on loopback, injects the faults that the seed draws, and checks every promise from what callers and backend servers saw. Exits with 4 if a promise was broken. Logs and notes of a run stay in its folder.',
+      'Starts gateways, backend servers and a stand-in for the store as processes on loopback, injects random faults that depend on the seed, and checks every promise against the observations of callers and backend servers. Exits with 4 if a promise was broken. Logs and notes of a run remain in its folder.',
     examples: [
       ['One seed', '$0 soak --seed 7'],
       ['Fifty seeds', '$0 soak --seed 1 --runs 50'],
@@ -43,27 +46,27 @@
     ],
   });
 
-  readonly seed = Option.String('--seed', '1', { validator: wholeNumber });
+  readonly seed = Option.String('--seed', '1', { validator: positiveInteger });
   readonly runs = Option.String('--runs', '1', {
-    description: 'seeds to run, one after the other',
-    validator: wholeNumber,
+    description: 'number of runs, one after the other with consecutive seeds',
+    validator: positiveInteger,
   });
   readonly seconds = Option.String('--seconds', '30', {
-    description: 'length of the load of one run',
-    validator: wholeNumber,
+    description: 'duration of the load in one run, in seconds',
+    validator: positiveInteger,
   });
   readonly processes = Option.String('--processes', '12', {
-    description: 'gateways and backend servers together',
-    validator: wholeNumber,
+    description: 'total number of gateways and backend servers',
+    validator: positiveInteger,
   });
   readonly folder = Option.String('--folder', 'target/soak', {
-    description: 'where logs and notes go',
+    description: 'folder for logs and notes',
   });
   readonly untimed = Option.Boolean('--untimed', false, {
-    description: 'leave out promises that compare times',
+    description: 'skip promises that depend on time measurements',
   });
   readonly kinds = Option.String('--kinds', {
-    description: 'kinds of faults to draw from, with commas between',
+    description: 'fault kinds to choose from, separated by commas',
   });
 
   async execute(): Promise<number> {
@@ -76,7 +79,9 @@
       name => !FAULT_KINDS.some(kind => kind === name),
     );
     if (unknown.length > 0) {
-      this.context.stderr.write(`no kind of fault "${unknown.join(', ')}"\n`);
+      this.context.stderr.write(
+        `unknown fault kinds: "${unknown.join(', ')}"\n`,
+      );
       return EXIT.usage;
     }
     const kinds = FAULT_KINDS.filter(kind => named.includes(kind));
@@ -91,14 +96,16 @@
         untimed: this.untimed,
         ...(kinds.length > 0 ? { kinds } : {}),
       });
-      this.context.stdout.write(`${lines(result).join('\n')}\n`);
+      this.context.stdout.write(`${formatResult(result).join('\n')}\n`);
       kept &&= result.kept;
     }
     return kept ? EXIT.ok : EXIT.brokenPromise;
   }
 }
 
-/** Runs one backend server of a soak; started by the soak itself. */
+/**
+ * Runs one backend server of a soak; internal, started by {@link SoakCommand}.
+ */
 export class SoakReplicaCommand extends Command {
   static override paths = [['soak', 'replica']];
 
@@ -112,7 +119,8 @@
       readFileSync(this.file, 'utf8'),
     ) as SoakReplicaPlace;
     runSoakReplica(place, soakReplicaDialect);
-    // The process ends when the soak says so or is gone itself.
+    // Never resolves: the process exits when the soak stops it or has itself
+    // exited.
     return new Promise(() => undefined);
   }
 }
--- a/packages/cli/src/entityKinds.ts
+++ b/packages/cli/src/entityKinds.ts
@@ -1,7 +1,7 @@
 import { ProtoEntityKind } from '@jujubecroft/operator';
 import { routerError } from '@jujubecroft/types';
 
-/** Names of entity kinds on the command line. */
+/** Entity kinds by their names on the command line. */
 export const ENTITY_KINDS: Readonly<Record<string, ProtoEntityKind>> = {
   all: ProtoEntityKind.ENTITY_KIND_UNSPECIFIED,
   organisation: ProtoEntityKind.ENTITY_KIND_ORGANISATION,
@@ -11,17 +11,20 @@
 };
 
 /**
- * Reads the name of an entity kind.
+ * Parses the name of an entity kind.
  *
- * @param name - from the command line
+ * @param name - name from the command line
  * @returns the kind
- * @throws RouterError `configInvalid` that lists the names
+ * @throws RouterError `configInvalid`, which lists the valid names
  */
-export function entityKind(name: string): ProtoEntityKind {
+export function parseEntityKind(name: string): ProtoEntityKind {
   const kind = ENTITY_KINDS[name];
   if (kind === undefined) {
     const names = Object.keys(ENTITY_KINDS).join(', ');
-    throw routerError('configInvalid', `"${name}" is none of ${names}`);
+    throw routerError(
+      'configInvalid',
+      `unknown entity kind "${name}"; expected one of ${names}`,
+    );
   }
   return kind;
 }
--- a/packages/cli/src/exitCodes.ts
+++ b/packages/cli/src/exitCodes.ts
@@ -1,12 +1,12 @@
-/** Exit codes of the program; docs/COMMANDS.md lists them. */
+/** Exit codes of the commands, as listed in docs/COMMANDS.md. */
 export const EXIT = {
   ok: 0,
-  /** A call or run failed. */
+  /** The command failed. */
   failed: 1,
-  /** Unusable arguments. */
+  /** Invalid arguments. */
   usage: 2,
-  /** A settings file has faults. */
+  /** A settings file is invalid. */
   badSettings: 3,
-  /** A run ended but broke a promise. */
+  /** A run completed, but a promise of the service was broken. */
   brokenPromise: 4,
 } as const;
--- a/packages/cli/src/gatewayMain.ts
+++ b/packages/cli/src/gatewayMain.ts
@@ -1,6 +1,7 @@
-// The gateway alone. An instance that is killed serves again as soon as its
-// program is loaded, and the other commands would be a third of that. The
-// connections of callers wait meanwhile.
+// Entry point of the program that contains only the gateway command. Loading
+// the other commands would take a third of the load time, and an instance that
+// was killed serves no callers until its program is loaded. Connections that
+// arrive meanwhile are held until the gateway takes them over.
 import { listenEarly } from '@jujubecroft/platform/early';
 
 const held = listenEarly(process.env);
--- a/packages/cli/src/report/plotWindows.ts
+++ b/packages/cli/src/report/plotWindows.ts
@@ -5,53 +5,55 @@
 const PLOT_HEIGHT_PX = 180;
 const MARGIN_PX = 50;
 
-interface Line {
+interface Series {
   readonly name: string;
-  readonly of: (row: WindowSummary) => number;
+  readonly countOf: (row: WindowSummary) => number;
 }
 
-/** What is drawn of each route: how its requests ended, in each window. */
-const LINES: readonly Line[] = [
-  { name: 'answered', of: row => row.answered },
-  { name: 'late first', of: row => row.lateFirst },
-  { name: 'late pauses', of: row => row.latePauses },
-  { name: 'deferred', of: row => row.deferred },
-  { name: 'refused', of: row => row.refused },
-  { name: 'cut or left', of: row => row.cut + row.left },
+/**
+ * Series of each route's plot: number of requests per window by how they ended.
+ */
+const SERIES: readonly Series[] = [
+  { name: 'answered', countOf: row => row.answered },
+  { name: 'late first', countOf: row => row.lateFirst },
+  { name: 'late pauses', countOf: row => row.latePauses },
+  { name: 'deferred', countOf: row => row.deferred },
+  { name: 'refused', countOf: row => row.refused },
+  { name: 'cut or left', countOf: row => row.cut + row.left },
 ];
 
-function topOf(index: number): number {
+function routeTopPx(index: number): number {
   return MARGIN_PX + index * ROUTE_HEIGHT_PX;
 }
 
 /**
- * Plots how the requests of each route ended over time.
+ * Plots over time how the requests of each route ended.
  *
- * @param windows - of all routes
- * @returns an SVG document, one plot a route
+ * @param windows - time windows of all routes
+ * @returns an SVG document with one plot per route
  */
-export async function plotDay(
+export async function plotWindows(
   windows: readonly WindowSummary[],
 ): Promise<string> {
-  // Loaded only here: instances, which draw nothing, start without it.
+  // Imported on demand, so that instances, which plot nothing, start without it.
   const { init } = await import('echarts');
   const routes = [...new Set(windows.map(({ route }) => route))];
   const chart = init(null, null, {
     renderer: 'svg',
     ssr: true,
     width: WIDTH_PX,
-    height: topOf(routes.length),
+    height: routeTopPx(routes.length),
   });
   chart.setOption({
     animation: false,
-    legend: { data: LINES.map(({ name }) => name) },
+    legend: { data: SERIES.map(({ name }) => name) },
     title: routes.map((route, index) => ({
       text: route,
-      top: topOf(index) - MARGIN_PX / 2,
+      top: routeTopPx(index) - MARGIN_PX / 2,
       textStyle: { fontSize: 12 },
     })),
     grid: routes.map((_, index) => ({
-      top: topOf(index),
+      top: routeTopPx(index),
       height: PLOT_HEIGHT_PX,
     })),
     xAxis: routes.map((_, index) => ({
@@ -64,14 +66,14 @@
       gridIndex: index,
     })),
     series: routes.flatMap((route, index) =>
-      LINES.map(({ name, of }) => ({
+      SERIES.map(({ name, countOf }) => ({
         name,
         type: 'line' as const,
         xAxisIndex: index,
         yAxisIndex: index,
         data: windows
           .filter(row => row.route === route)
-          .map(row => [row.fromS, of(row)]),
+          .map(row => [row.fromS, countOf(row)]),
       })),
     ),
   });
--- a/packages/cli/src/report/summaryTables.ts
+++ b/packages/cli/src/report/summaryTables.ts
@@ -94,12 +94,12 @@
 }
 
 /**
- * Renders a summary as tables for a terminal.
+ * Renders a log summary as tables for a terminal.
  *
- * @param day - what the logs say
- * @returns tables of windows, of large and small requests, and of backend servers
+ * @param summary - summary of the log lines
+ * @returns tables of time windows, of prompt sizes and of backend servers
  */
-export function dayTables({ windows, servers, sizes }: DaySummary): string {
+export function summaryTables({ windows, servers, sizes }: DaySummary): string {
   return [
     toTable(WINDOW_HEAD, windows.map(windowRow)),
     toTable(SIZE_HEAD, sizes.map(sizeRow)),
--- a/packages/cli/src/runGatewayCli.ts
+++ b/packages/cli/src/runGatewayCli.ts
@@ -6,9 +6,10 @@
 import { VERSION } from './version.js';
 
 /**
- * Runs the command line of a program that has the gateway alone.
+ * Runs the command line of the program that contains only the gateway command.
  *
- * @param held - connections of callers that wait for the gateway; null for none
+ * @param held - connections of callers that the gateway takes over; null for
+ *   none
  */
 export async function runGatewayCli(
   held: HeldConnections | null,
--- a/packages/cli/src/version.ts
+++ b/packages/cli/src/version.ts
@@ -1,2 +1,2 @@
-/** Version that --version prints; equal to package.json. */
+/** Version that `--version` prints; must match package.json. */
 export const VERSION = '0.1.0';
--- a/packages/cli/src/waitForStopSignal.ts
+++ b/packages/cli/src/waitForStopSignal.ts
@@ -1,5 +1,5 @@
-/** Resolves when the process is asked to stop. */
-export function untilStopped(): Promise<void> {
+/** Resolves when the process receives SIGTERM or SIGINT. */
+export function waitForStopSignal(): Promise<void> {
   return new Promise(resolve => {
     process.once('SIGTERM', () => {
       resolve();
--- a/packages/cli/tests/commands.test.ts
+++ b/packages/cli/tests/commands.test.ts
@@ -39,10 +39,10 @@
   return { code, out: await text(stdout) };
 }
 
-describe('commands', ({ describe: group }) => {
-  group('help of a group', ({ it }) => {
+describe('command-line commands', ({ describe: group }) => {
+  group('help of a command group', ({ it }) => {
     [['ctl'], ['ctl', '--help'], ['ctl', '-h']].forEach(args => {
-      it(`${args.join(' ')} lists its commands and ends well`, async t => {
+      it(`${args.join(' ')} lists the commands of the group and succeeds`, async t => {
         const { code, out } = await run(args);
         t.is(code, EXIT.ok);
         t.true(out.includes('jujubecroft ctl status'));
@@ -51,7 +51,7 @@
   });
 
   group('config check', ({ it }) => {
-    it('names every fault of settings by the platform', async t => {
+    it('names every fault of platform settings', async t => {
       const folder = await mkdtemp(path.join(tmpdir(), 'settings-'));
       const file = path.join(folder, 'local.json');
       writeFileSync(
@@ -79,7 +79,7 @@
       '{"id":"requestAnswered","instance":"i","time":"2026-01-01T00:00:01Z","request":"q","firstMs":90,"targetMs":300}',
     ].join('\n');
 
-    it('prints a table and draws a plot', async t => {
+    it('prints the summary tables and writes the plot', async t => {
       const folder = await mkdtemp(path.join(tmpdir(), 'report-'));
       const file = path.join(folder, 'day.svg');
       const { code, out } = await run(['report', '--plot', file], LINES);
@@ -88,20 +88,20 @@
       t.regex(readFileSync(file, 'utf8'), /^<svg .*late pauses/s);
     });
 
-    it('fails where no line tells of a request', async t => {
+    it('fails when no log line belongs to a request', async t => {
       const { code } = await run(['report'], 'noise');
       t.is(code, EXIT.failed);
     });
   });
 
   group('explain', ({ it }) => {
-    it('says so when no line names the request', async t => {
+    it('fails with a message when no log line names the request', async t => {
       const { code, out } = await run(['explain', 'q-1'], 'noise\n{"a":1}\n');
       t.is(code, EXIT.failed);
       t.true(out.includes('no line names this request'));
     });
 
-    it('tells the steps in order, across lines of other programs', async t => {
+    it('prints the steps of a request in order of time, ignoring lines of other programs', async t => {
       const lines = [
         '12.1 front-2 {"id":"requestCut","instance":"b","time":"T3","atMs":9,"request":"q","code":"backendTimeout","afterMs":2000,"attempts":1,"started":false}',
         'not ours',
--- a/packages/cli/tests/soak.test.ts
+++ b/packages/cli/tests/soak.test.ts
@@ -5,26 +5,29 @@
 import { promisify } from 'node:util';
 import { describe } from '@jujubecroft/testing';
 
-const root = path.resolve(import.meta.dirname, '../../..');
-/** Faults of processes, links and store come in this one. */
+const REPOSITORY_PATH = path.resolve(import.meta.dirname, '../../..');
+/**
+ * With this seed the run has faults of processes, of links and of the store.
+ */
 const SEED = 106;
 
 describe('soak', ({ itAlone }) => {
-  // Callers ask while gateways and replicas are killed, paused and stopped and
-  // links go silent. They must get their own whole answers or honest refusals,
-  // and nothing may run twice; bounds in time are left to runs by hand.
-  itAlone('keeps the promises that need no clock', async t => {
+  // Gateways and replicas are killed, paused and stopped and links go silent
+  // under load. Callers must get their own complete answers or truthful
+  // refusals, and no request may run twice. Promises about time are checked in
+  // manual runs.
+  itAlone('breaks no untimed promise under random faults', async t => {
     const folder = await mkdtemp(path.join(tmpdir(), 'jujubecroft-soak-'));
     try {
       const { stdout } = await promisify(execFile)(
         process.execPath,
         [
           '--import=tsx',
-          path.join(root, 'packages/cli/src/main.ts'),
+          path.join(REPOSITORY_PATH, 'packages/cli/src/main.ts'),
           ...['soak', '--untimed', '--seed', String(SEED)],
           ...['--seconds', '14', '--processes', '7', '--folder', folder],
         ],
-        { cwd: root },
+        { cwd: REPOSITORY_PATH },
       );
       t.regex(stdout, new RegExp(`^seed ${SEED}: kept; \\d+ requests`));
       const [, served = '0'] = /(\d+) served/.exec(stdout) ?? [];
@@ -34,18 +37,18 @@
     }
   });
 
-  // Somebody interrupts a soak. Gateways that run on would hold their addresses
-  // and memory, and the next soak would meet them.
-  itAlone('leaves no process behind when it is interrupted', async t => {
+  // Gateways that outlive an interrupted soak would keep their addresses and
+  // memory and disturb the next soak.
+  itAlone('leaves no child process behind when interrupted', async t => {
     const folder = await mkdtemp(path.join(tmpdir(), 'jujubecroft-soak-'));
     const soak = spawn(
       process.execPath,
       [
         '--import=tsx',
-        path.join(root, 'packages/cli/src/main.ts'),
+        path.join(REPOSITORY_PATH, 'packages/cli/src/main.ts'),
         ...['soak', '--seed', '1', '--processes', '6', '--folder', folder],
       ],
-      { cwd: root, stdio: 'ignore' },
+      { cwd: REPOSITORY_PATH, stdio: 'ignore' },
     );
     const ended = new Promise(resolve => soak.once('exit', resolve));
     const children = async (): Promise<readonly number[]> => {
