--- a/packages/bench/src/gateway/GatewayReplay.ts
+++ b/packages/bench/src/gateway/GatewayReplay.ts
@@ -202,11 +202,11 @@
   ): void {
     const decision = router.place(request, new Set());
     if (decision.kind === 'send') {
-      const attempt = router.begin(request, decision.placed, 1);
+      const attempt = router.beginAttempt(request, decision.placed, 1);
       this.#send(kind, router, attempt, outcome);
       return;
     }
-    if (this.shape.returns !== true || request.cameBack) {
+    if (this.shape.returns !== true || request.isCallerRetry) {
       outcome.result.refused += 1;
       return;
     }
@@ -283,7 +283,7 @@
       router.onEnded(attempt, { kind: 'withdrawn', reason });
       result.cut += 1;
     };
-    const copyMs = attempt.fetch?.tookMs ?? 0;
+    const copyMs = attempt.fetch?.copyMs ?? 0;
     this.#events.after(NETWORK_MS + copyMs, () => {
       if (!ended) {
         engine.submit(job);
--- a/packages/bench/src/gateway/ReplayCallers.ts
+++ b/packages/bench/src/gateway/ReplayCallers.ts
@@ -67,7 +67,7 @@
       },
       arrivedMs: nowMs,
       deadlineMs: nowMs + route.timeoutMs,
-      cameBack: false,
+      isCallerRetry: false,
       fingerprint: () => brand<RequestFingerprint>(name),
     };
   }
--- a/packages/bench/src/gateway/exchangeWork.ts
+++ b/packages/bench/src/gateway/exchangeWork.ts
@@ -1,4 +1,4 @@
-import type { GatewayRouter, PeerWork } from '@jujubecroft/decisions';
+import type { GatewayRouter, PeerUpdate } from '@jujubecroft/decisions';
 import type { InstanceId } from '@jujubecroft/types';
 
 import type { ReplayExchange } from './replayShapes.js';
@@ -6,7 +6,7 @@
 /** What one instance tells the others. */
 interface Told {
   readonly instance: InstanceId;
-  readonly work: PeerWork;
+  readonly work: PeerUpdate;
 }
 
 /** How a round of exchanges goes. */
@@ -17,7 +17,11 @@
   readonly after: (ms: number, run: () => void) => void;
 }
 
-function workOf({ board, ownUses, heardReports }: GatewayRouter): Told {
+function workOf({
+  board,
+  ownReplicaUses: ownUses,
+  loadReports: heardReports,
+}: GatewayRouter): Told {
   return {
     instance: board.instance,
     work: {
@@ -37,7 +41,7 @@
     told
       .filter(({ instance }) => instance !== router.board.instance)
       .forEach(({ instance, work }) => {
-        router.onPeerWork(instance, work);
+        router.onPeerUpdate(instance, work);
       });
   });
 }
@@ -54,8 +58,8 @@
       const called = drawn >= caller ? drawn + 1 : drawn;
       const [own, other] = [told[caller], told[called]];
       if (own && other) {
-        router.onPeerWork(other.instance, other.work);
-        routers[called]?.onPeerWork(own.instance, own.work);
+        router.onPeerUpdate(other.instance, other.work);
+        routers[called]?.onPeerUpdate(own.instance, own.work);
       }
     });
   });
--- a/packages/bench/src/measure/LoadedRouter.ts
+++ b/packages/bench/src/measure/LoadedRouter.ts
@@ -56,7 +56,7 @@
         cancel: () => undefined,
         refuse: () => undefined,
         explain: () => undefined,
-        isWatched: () => false,
+        needsCandidates: () => false,
       },
     });
     this.#configure(replicas);
--- a/packages/bench/src/simulation/runArm.ts
+++ b/packages/bench/src/simulation/runArm.ts
@@ -127,7 +127,7 @@
                 });
               }
             },
-            isWatched: () => false,
+            needsCandidates: () => false,
             explain: event => {
               this.#ledger.promises.onDecision(
                 event,
--- a/packages/cli/src/commands/ConfigCheckCommand.ts
+++ b/packages/cli/src/commands/ConfigCheckCommand.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from 'node:fs';
 import { Command, Option } from 'clipanion';
-import type { CheckedRead } from '@jujubecroft/gateway';
+import type { DocumentParseResult } from '@jujubecroft/gateway';
 import type { PlatformSettings } from '@jujubecroft/platform';
 import { formatFaults, parseSettings } from '@jujubecroft/settings';
 
@@ -28,7 +28,9 @@
       : this.#checkJujubecroftSettings(text);
   }
 
-  #reportPlatformSettings(result: CheckedRead<PlatformSettings>): number {
+  #reportPlatformSettings(
+    result: DocumentParseResult<PlatformSettings>,
+  ): number {
     if (result.ok) {
       this.context.stdout.write(`${this.file}: platform settings, ok\n`);
       return EXIT.ok;
--- a/packages/cli/src/commands/GatewayCommand.ts
+++ b/packages/cli/src/commands/GatewayCommand.ts
@@ -1,6 +1,6 @@
 import type { BaseContext } from 'clipanion';
 import { Command, Option } from 'clipanion';
-import type { HeldConnections } from '@jujubecroft/gateway/early';
+import type { EarlyConnections } from '@jujubecroft/gateway/early';
 
 import { EXIT } from '../exitCodes.js';
 import { waitForStopSignal } from '../waitForStopSignal.js';
@@ -8,7 +8,7 @@
 /** Context that the program with only the gateway command passes to it. */
 export interface GatewayCommandContext extends BaseContext {
   /** Connections of callers that arrived while the program was loading. */
-  readonly held?: HeldConnections | null;
+  readonly held?: EarlyConnections | null;
 }
 
 /** Runs one instance of the gateway on the platform. */
--- a/packages/cli/src/runGatewayCli.ts
+++ b/packages/cli/src/runGatewayCli.ts
@@ -1,5 +1,5 @@
 import { Cli } from 'clipanion';
-import type { HeldConnections } from '@jujubecroft/gateway/early';
+import type { EarlyConnections } from '@jujubecroft/gateway/early';
 
 import type { GatewayCommandContext } from './commands/GatewayCommand.js';
 import { GatewayCommand } from './commands/GatewayCommand.js';
@@ -12,7 +12,7 @@
  *   none
  */
 export async function runGatewayCli(
-  held: HeldConnections | null,
+  held: EarlyConnections | null,
 ): Promise<void> {
   const cli = new Cli<GatewayCommandContext>({
     binaryLabel: 'jujubecroft gateway',
--- a/packages/decisions/src/Router.ts
+++ b/packages/decisions/src/Router.ts
@@ -91,7 +91,7 @@
   }
 
   /** Applies a change of the fleet. */
-  place(placement: Placement): void {
+  setPlacement(placement: Placement): void {
     this.#configuration.setPlacement(placement);
     this.#dispatchAll();
   }
--- a/packages/decisions/src/blackboard/BackendView.ts
+++ b/packages/decisions/src/blackboard/BackendView.ts
@@ -24,7 +24,7 @@
   lastAdaptedAtMs: number;
   report: LoadReport | null;
   /** Requests of this instance in flight when the report was taken. */
-  ownAtReport: number;
+  ownInFlightAtReport: number;
   /** Recent in-flight counts of this instance, for comparison with delayed reports. */
   readonly history: InFlightSample[];
   /** Strictest latency targets of the classes dispatched to the server, in milliseconds. */
@@ -66,7 +66,7 @@
     samples: 0,
     lastAdaptedAtMs: 0,
     report: null,
-    ownAtReport: 0,
+    ownInFlightAtReport: 0,
     history: [],
     tightestFirstTokenMs: Infinity,
     tightestBetweenTokensMs: Infinity,
--- a/packages/decisions/src/blackboard/Blackboard.ts
+++ b/packages/decisions/src/blackboard/Blackboard.ts
@@ -45,7 +45,7 @@
   readonly refuse: (record: RequestRecord, refusal: Refusal) => void;
   readonly explain: (event: DecisionEvent) => void;
   /** Whether the candidates of routing decisions are needed by a reader at present. */
-  readonly isWatched: () => boolean;
+  readonly needsCandidates: () => boolean;
 }
 
 /** Identity of this instance and its view of the fleet. */
--- a/packages/decisions/src/blackboard/RoutedRequest.ts
+++ b/packages/decisions/src/blackboard/RoutedRequest.ts
@@ -58,7 +58,7 @@
   /** Number of attempts so far, including the current one. */
   attempts: number;
   /** Number of failed attempts that may have run. */
-  costlyAttempts: number;
+  possiblyRunAttempts: number;
   tokensDelivered: number;
   /** Whether the current attempt has delivered a token. */
   attemptHasTokens: boolean;
--- a/packages/decisions/src/controllers/AdmissionController.ts
+++ b/packages/decisions/src/controllers/AdmissionController.ts
@@ -87,7 +87,7 @@
       budgetMs: rules.maxQueueMs,
       attempt: null,
       attempts: 0,
-      costlyAttempts: 0,
+      possiblyRunAttempts: 0,
       tokensDelivered: 0,
       attemptHasTokens: false,
       firstTokenAtMs: null,
--- a/packages/decisions/src/controllers/BackendController.ts
+++ b/packages/decisions/src/controllers/BackendController.ts
@@ -38,7 +38,7 @@
       return;
     }
     view.report = report;
-    view.ownAtReport = inFlightAt(view, report.takenAtMs);
+    view.ownInFlightAtReport = inFlightAt(view, report.takenAtMs);
   }
 
   /**
--- a/packages/decisions/src/controllers/DispatchController.ts
+++ b/packages/decisions/src/controllers/DispatchController.ts
@@ -156,7 +156,7 @@
     explain(board, record, {
       kind: 'routed',
       backendServer: view.server.id,
-      candidates: board.effects.isWatched() ? choice.candidates() : [],
+      candidates: board.effects.needsCandidates() ? choice.candidates() : [],
       queuedMs,
       guaranteed,
     });
--- a/packages/decisions/src/duties/DutyBoard.ts
+++ b/packages/decisions/src/duties/DutyBoard.ts
@@ -28,7 +28,7 @@
   readonly usage: UsageLedger;
   readonly collector: UsageCollector;
   /** The latest known state of the holding; null until one is known. */
-  news: HoldingNews | null;
+  latestHolding: HoldingNews | null;
 }
 
 /** Dependencies of a {@link DutyBoard}. */
@@ -50,7 +50,7 @@
     fleetClock: new FleetClock(storeClock, timeOfDay),
     usage: new UsageLedger(settings.windowMs),
     collector: new UsageCollector(),
-    news: null,
+    latestHolding: null,
   };
 }
 
@@ -61,12 +61,12 @@
  * @param told - state received from another instance or read from the store
  * @returns whether the fencing token changed or the lease was released
  */
-export function noteHolding(board: DutyBoard, told: HoldingNews): boolean {
-  const known = board.news;
+export function recordHolding(board: DutyBoard, told: HoldingNews): boolean {
+  const known = board.latestHolding;
   if (!isNewerHolding(told, known)) {
     return false;
   }
-  board.news = told;
+  board.latestHolding = told;
   board.collector.discardThrough(told.decidedThrough);
   return known?.token !== told.token || told.released;
 }
@@ -78,9 +78,9 @@
  * @param candidates - instances in order of precedence
  * @returns the first candidate that is not the holder; null if there is none
  */
-export function deputyOf(
+export function standbyOf(
   board: DutyBoard,
   candidates: readonly InstanceId[],
 ): InstanceId | null {
-  return candidates.find(id => id !== board.news?.instance) ?? null;
+  return candidates.find(id => id !== board.latestHolding?.instance) ?? null;
 }
--- a/packages/decisions/src/duties/HolderLease.ts
+++ b/packages/decisions/src/duties/HolderLease.ts
@@ -69,12 +69,12 @@
   }
 
   /** Notes of this holder that are known to be in the store. */
-  get confirmed(): DutyNotes {
-    return this.#state.confirmed;
+  get confirmedNotes(): DutyNotes {
+    return this.#state.confirmedNotes;
   }
 
   /** The holding as last read or written by this instance; null if there is none. */
-  get known(): Holding | null {
+  get knownHolding(): Holding | null {
     return this.#state.row?.holding ?? null;
   }
 
@@ -82,7 +82,7 @@
    * Stops holding at once, for example after a process pause. The row is read before the
    * lease is acquired again.
    */
-  drop(): void {
+  invalidate(): void {
     this.#update({ heldUntilMs: -Infinity, mustRead: true, isFresh: false });
   }
 
@@ -92,7 +92,7 @@
    * A platform call without an answer may still be executed later. The platform rejects
    * it once it has seen the new token.
    */
-  renumber(): void {
+  requestNewToken(): void {
     this.#update({ wantsNewToken: true });
   }
 
@@ -104,7 +104,7 @@
    */
   next(inputs: LeaseInputs): LeaseStep {
     const isHeld = this.token !== null;
-    if (inputs.givesUp) {
+    if (inputs.mustRelease) {
       return isHeld && !this.#state.mustRead
         ? this.#release(inputs.notes)
         : IDLE;
@@ -135,7 +135,9 @@
       readAtStoreMs: storeMs,
       isFresh: true,
       mustRead: false,
-      ...(isOwn ? { confirmed: holding.notes } : { heldUntilMs: -Infinity }),
+      ...(isOwn
+        ? { confirmedNotes: holding.notes }
+        : { heldUntilMs: -Infinity }),
     });
   }
 
@@ -152,7 +154,7 @@
     this.#update({
       row: { version, holding },
       isFresh: false,
-      confirmed: holding.notes,
+      confirmedNotes: holding.notes,
       wantsNewToken: wantsNewToken && holding.token === token,
       token: holding.token,
       renewedMs: sentMs,
@@ -163,7 +165,7 @@
   }
 
   /** Records that a write has an unknown outcome: it may still be applied later. */
-  onUnanswered(): void {
+  onOutcomeUnknown(): void {
     this.#update({ mustRead: true });
   }
 
@@ -175,7 +177,7 @@
     const isDue =
       clock() - this.#state.renewedMs >= RENEW_AFTER_SHARE * leaseMs;
     const isChanged =
-      notes !== this.#state.confirmed || this.#state.wantsNewToken;
+      notes !== this.#state.confirmedNotes || this.#state.wantsNewToken;
     return isDue || isChanged
       ? this.#write(this.#state.token + (this.#state.wantsNewToken ? 1 : 0), {
           former: this.#state.row.holding?.former ?? [],
@@ -269,7 +271,7 @@
     );
   }
 
-  #isReadDue({ rank, news }: LeaseInputs): boolean {
+  #isReadDue({ rank, latestHolding: news }: LeaseInputs): boolean {
     const { clock, storeClock } = this.options;
     const { latestMs } = storeClock;
     const overdueMs = news
--- a/packages/decisions/src/duties/Holding.ts
+++ b/packages/decisions/src/duties/Holding.ts
@@ -101,7 +101,7 @@
 }
 
 /** @returns the summary of a holding that is sent to other instances */
-export function newsOf({
+export function toHoldingNews({
   instance,
   token,
   untilMs,
--- a/packages/decisions/src/duties/LeaseState.ts
+++ b/packages/decisions/src/duties/LeaseState.ts
@@ -29,11 +29,11 @@
   /** Computes the rank of this instance among the live ones, starting at 0. */
   readonly rank: () => number;
   /** Latest known state of the holding; null if there is none. */
-  readonly news: HoldingNews | null;
+  readonly latestHolding: HoldingNews | null;
   /** Notes that the holder wants to store; ignored if the lease is not held. */
   readonly notes: DutyNotes;
   /** Whether the lease is to be released, because the instance stops or is unable to act. */
-  readonly givesUp: boolean;
+  readonly mustRelease: boolean;
 }
 
 /** Identity and clocks of an instance that competes for the lease. */
@@ -68,7 +68,7 @@
   /** Whether the next write is to take a new token. */
   readonly wantsNewToken: boolean;
   /** Notes that are known to be in the store. */
-  readonly confirmed: DutyNotes;
+  readonly confirmedNotes: DutyNotes;
 }
 
 /** @returns the state of an instance that started at a given local time */
@@ -83,6 +83,6 @@
     renewedMs: -Infinity,
     token: 0,
     wantsNewToken: false,
-    confirmed: NO_NOTES,
+    confirmedNotes: NO_NOTES,
   };
 }
--- a/packages/decisions/src/duties/UsageCollector.ts
+++ b/packages/decisions/src/duties/UsageCollector.ts
@@ -3,7 +3,7 @@
 import type { WindowUsage } from './Holding.js';
 
 /** Usage counted so far by one incarnation of an instance. */
-export interface ToldUsage {
+export interface InstanceUsage {
   readonly instance: InstanceId;
   /** Distinguishes successive runs of the same instance. */
   readonly incarnation: number;
@@ -27,7 +27,7 @@
   readonly #asOfMs = new Map<InstanceId, number>();
 
   /** Records the usage that an instance sent. */
-  onTold({ instance, incarnation, asOfMs, windows }: ToldUsage): void {
+  onUsage({ instance, incarnation, asOfMs, windows }: InstanceUsage): void {
     const key = `${instance} ${incarnation}`;
     const run = this.#runs.get(key) ?? {
       windows: new Map<number, WindowUsage>(),
--- a/packages/decisions/src/duties/UsageLedger.ts
+++ b/packages/decisions/src/duties/UsageLedger.ts
@@ -34,7 +34,7 @@
    * @param request - the request; compared by identity
    * @param unixMs - when it started, in Unix milliseconds
    */
-  onBegan(request: CountedRequest, unixMs: number): void {
+  onStarted(request: CountedRequest, unixMs: number): void {
     const { organisation } = request;
     if (organisation === null || this.#countedRequests.has(request)) {
       return;
@@ -49,7 +49,7 @@
   }
 
   /** @returns the counts of all windows after the given one, oldest first */
-  since(window: number): readonly WindowUsage[] {
+  countsAfter(window: number): readonly WindowUsage[] {
     return [...this.#windows]
       .filter(([number]) => number > window)
       .sort(([a], [b]) => a - b)
--- a/packages/decisions/src/duties/index.ts
+++ b/packages/decisions/src/duties/index.ts
@@ -1,7 +1,7 @@
 export type { UsageInputs } from './decideUsage.js';
 export { decideUsage, withReported } from './decideUsage.js';
 export type { DutyBoard, DutySettings } from './DutyBoard.js';
-export { createDutyBoard, deputyOf, noteHolding } from './DutyBoard.js';
+export { createDutyBoard, standbyOf, recordHolding } from './DutyBoard.js';
 export { FleetClock } from './FleetClock.js';
 export type {
   DutyNotes,
@@ -13,7 +13,7 @@
   ServiceNeed,
   WindowUsage,
 } from './Holding.js';
-export { newsOf, NO_NOTES } from './Holding.js';
+export { toHoldingNews, NO_NOTES } from './Holding.js';
 export type {
   HoldingWrite,
   LeaseInputs,
@@ -22,18 +22,21 @@
 } from './LeaseState.js';
 export { HolderLease } from './HolderLease.js';
 export { parseHolding } from './parseHolding.js';
-export type { CapacityOptions } from './scaling/CapacityNeed.js';
-export { CapacityNeed, DEFAULT_CAPACITY } from './scaling/CapacityNeed.js';
+export type { CapacityOptions } from './scaling/CapacityEstimator.js';
+export {
+  CapacityEstimator,
+  DEFAULT_CAPACITY,
+} from './scaling/CapacityEstimator.js';
 export type { PlanInputs, ReplicaPlan } from './scaling/planReplicas.js';
 export { planReplicas, stepTowards } from './scaling/planReplicas.js';
 export type { ReplicaCensus } from './scaling/replicaCensus.js';
 export {
-  growthOf,
-  lastingInAll,
+  addedReplicas,
+  totalLasting,
   replicaCensus,
 } from './scaling/replicaCensus.js';
 export type { OrderInputs } from './scaling/ReplicaOrders.js';
 export { ReplicaOrders } from './scaling/ReplicaOrders.js';
-export type { ToldUsage } from './UsageCollector.js';
+export type { InstanceUsage } from './UsageCollector.js';
 export { UsageCollector } from './UsageCollector.js';
 export { UsageLedger } from './UsageLedger.js';
--- a/packages/decisions/src/duties/scaling/CapacityNeed.ts
+++ b/packages/decisions/src/duties/scaling/CapacityEstimator.ts
@@ -36,7 +36,7 @@
  * the last peak is held and then decays slowly. Until the first load is observed, the
  * initial number of replicas is kept, since the operators chose it.
  */
-export class CapacityNeed {
+export class CapacityEstimator {
   #need: number;
   #peakMs = -Infinity;
   #observedMs = -Infinity;
--- a/packages/decisions/src/duties/scaling/ReplicaOrders.ts
+++ b/packages/decisions/src/duties/scaling/ReplicaOrders.ts
@@ -9,7 +9,7 @@
 import type { ReplicaPlan } from './planReplicas.js';
 import { planReplicas, stepTowards } from './planReplicas.js';
 import type { ReplicaCensus, ReplicaKind } from './replicaCensus.js';
-import { growthOf, orderedKind, activeFor } from './replicaCensus.js';
+import { addedReplicas, orderedKind, activeFor } from './replicaCensus.js';
 
 /** Time for which a failure domain counts as out of capacity after it refused an order. */
 const UNAVAILABLE_MS = 1500;
@@ -89,7 +89,7 @@
     };
     const plan = stepTowards(planInputs, planReplicas(planInputs));
     return this.#changedOrders(inputs, plan).sort(
-      (a, b) => growthOf(b, census) - growthOf(a, census),
+      (a, b) => addedReplicas(b, census) - addedReplicas(a, census),
     );
   }
 
@@ -99,7 +99,7 @@
   }
 
   /** Records that the failure domain of an order is out of replicas of its kind. */
-  onNoneLeft(order: ReplicaOrder): void {
+  onUnavailable(order: ReplicaOrder): void {
     this.#unavailableUntilMs.set(
       orderKeyOf(order),
       this.clock() + UNAVAILABLE_MS,
--- a/packages/decisions/src/duties/scaling/replicaCensus.ts
+++ b/packages/decisions/src/duties/scaling/replicaCensus.ts
@@ -54,7 +54,7 @@
 }
 
 /** @returns number of active on-demand replicas in all failure domains */
-export function lastingInAll(census: ReplicaCensus): number {
+export function totalLasting(census: ReplicaCensus): number {
   return [...census.values()].reduce((sum, { lasting }) => sum + lasting, 0);
 }
 
@@ -77,6 +77,9 @@
 }
 
 /** @returns replicas that an order adds to the active ones; negative for a release */
-export function growthOf(order: ReplicaOrder, census: ReplicaCensus): number {
+export function addedReplicas(
+  order: ReplicaOrder,
+  census: ReplicaCensus,
+): number {
   return order.count - activeFor(order, census);
 }
--- a/packages/decisions/src/gateway/AnswerLengths.ts
+++ b/packages/decisions/src/gateway/AnswerLengths.ts
@@ -1,7 +1,7 @@
 import type { PromptFacts, RouteId, RoutedService } from '@jujubecroft/types';
 
 /** Mean length of a route's answers, as observed by one instance. */
-export interface SeenLength {
+export interface ObservedLength {
   readonly route: RouteId;
   /** Mean number of pieces (stream events) per answer. */
   readonly pieces: number;
@@ -22,11 +22,11 @@
 
 /** Learns how many pieces (stream events) the answers of each route have. */
 export class AnswerLengths {
-  readonly #observed = new Map<RouteId, SeenLength>();
+  readonly #observed = new Map<RouteId, ObservedLength>();
   #peers = new Map<RouteId, LengthSum>();
 
   /** Mean lengths of all routes that this instance has observed. */
-  get own(): readonly SeenLength[] {
+  get own(): readonly ObservedLength[] {
     return [...this.#observed.values()];
   }
 
@@ -36,7 +36,7 @@
    * @param route - route of the answers
    * @returns the mean; zero pieces over zero answers where none was observed
    */
-  seen(route: RouteId): SeenLength {
+  ownLength(route: RouteId): ObservedLength {
     return this.#observed.get(route) ?? { route, pieces: 0, answers: 0 };
   }
 
@@ -47,7 +47,7 @@
    * @param pieces - number of stream events in the answer
    */
   onEnded(route: RouteId, pieces: number): void {
-    const before = this.seen(route);
+    const before = this.ownLength(route);
     const answers = Math.min(MAX_WEIGHT_ANSWERS, before.answers + 1);
     const mean = before.pieces + (pieces - before.pieces) / answers;
     this.#observed.set(route, { route, pieces: mean, answers });
@@ -58,7 +58,7 @@
    *
    * @param lengths - one entry for each instance and route
    */
-  onPeers(lengths: readonly SeenLength[]): void {
+  onPeers(lengths: readonly ObservedLength[]): void {
     this.#peers = new Map();
     lengths.forEach(({ route, pieces, answers }) => {
       const sum = this.#peers.get(route) ?? { pieces: 0, answers: 0 };
@@ -90,15 +90,17 @@
    * @param service - service of the request; provides the tokens per piece
    * @returns the predicted number of pieces
    */
-  expect(
+  predict(
     route: RouteId,
     prompt: PromptFacts | null,
     service: RoutedService,
   ): number {
-    const usual = this.usual(route);
+    const meanOrDefault = this.usual(route);
     const perPiece = service.engine?.tokensPerEvent ?? 1;
     const guess = prompt?.expectedOutputTokens;
-    const expected = guess ? (usual + guess / perPiece) / 2 : usual;
+    const expected = guess
+      ? (meanOrDefault + guess / perPiece) / 2
+      : meanOrDefault;
     const allowed = prompt?.maxOutputTokens ?? 0;
     return allowed > 0
       ? Math.min(expected, Math.ceil(allowed / perPiece))
@@ -112,8 +114,8 @@
    * @param route - route of the answers
    * @returns the mean in pieces; null until any instance has observed an answer
    */
-  known(route: RouteId): number | null {
-    const own = this.seen(route);
+  observedMean(route: RouteId): number | null {
+    const own = this.ownLength(route);
     const heard = this.#peers.get(route);
     const answers = own.answers + (heard?.answers ?? 0);
     const pieces = own.answers * own.pieces + (heard?.pieces ?? 0);
@@ -125,6 +127,6 @@
    * any instance has observed an answer.
    */
   usual(route: RouteId): number {
-    return this.known(route) ?? DEFAULT_PIECES;
+    return this.observedMean(route) ?? DEFAULT_PIECES;
   }
 }
--- a/packages/decisions/src/gateway/BackendLoad.ts
+++ b/packages/decisions/src/gateway/BackendLoad.ts
@@ -10,9 +10,9 @@
 
 import type { Clock } from '../blackboard/Blackboard.js';
 import type { HashedId } from '../util/byHash.js';
-import { hashed } from '../util/byHash.js';
+import { toHashedId } from '../util/byHash.js';
 import type { CacheFetch } from './placement/PlacementPolicy.js';
-import { PromptMemory } from './PromptMemory.js';
+import { PromptCacheEstimate } from './PromptCacheEstimate.js';
 import { ReplicaHealth } from './ReplicaHealth.js';
 
 /** What routing decisions need to know about one request of a caller. */
@@ -33,7 +33,7 @@
    * Whether this seems to be a retry of a rejected request, judged by the time
    * that the caller has left.
    */
-  readonly cameBack: boolean;
+  readonly isCallerRetry: boolean;
   /**
    * Computes the fingerprint of the content on demand, since it is rarely
    * needed.
@@ -108,7 +108,7 @@
  * Request limit announced by a replica, with the local time of the
  * announcement.
  */
-export interface NamedLimit {
+export interface AnnouncedLimit {
   /** Requests per second from all instances together; null for no limit. */
   readonly perS: number | null;
   readonly atMs: number;
@@ -120,7 +120,7 @@
  * Key that stands for all priorities at replicas that serve in order of
  * arrival.
  */
-export const ONE_QUEUE = 0;
+export const FIFO_PRIORITY = 0;
 /** Smoothing factor of the ratio of measured to predicted latency. */
 const LATENCY_RATIO_WEIGHT = 0.15;
 /** Smoothing factor of the interval between stream events. */
@@ -138,7 +138,7 @@
 export class BackendLoad {
   readonly attempts = new Set<GatewayAttempt>();
   readonly health: ReplicaHealth;
-  readonly memory: PromptMemory;
+  readonly cacheEstimate: PromptCacheEstimate;
   /** Hashed id, kept because replicas are ordered by hash for every request. */
   readonly hashedId: HashedId;
   replica: Replica;
@@ -149,10 +149,10 @@
    * Smoothed interval between the events of a stream, in milliseconds. It grows
    * many times over while a replica reads prompts without a break.
    */
-  paceMs = INITIAL_EVENT_INTERVAL_MS;
+  eventIntervalMs = INITIAL_EVENT_INTERVAL_MS;
   lastByteMs = -Infinity;
   #report: TimestampedLoad | null = null;
-  #limit: NamedLimit | null = null;
+  #limit: AnnouncedLimit | null = null;
   readonly #latencyRatios = new Map<number, number>();
 
   constructor(
@@ -161,9 +161,9 @@
     private readonly clock: Clock,
   ) {
     this.replica = replica;
-    this.hashedId = hashed(replica.id);
+    this.hashedId = toHashedId(replica.id);
     this.health = new ReplicaHealth(clock);
-    this.memory = new PromptMemory(
+    this.cacheEstimate = new PromptCacheEstimate(
       service?.engine?.kvCapacityTokens ?? DEFAULT_CACHE_TOKENS,
     );
   }
@@ -231,7 +231,7 @@
    * @param rank - rank at which the replica would serve the request
    * @returns the number of tokens
    */
-  unreadAhead(rank: number): number {
+  unreadTokensAhead(rank: number): number {
     const own = this.#ownUnread(attempt => attempt.rank <= rank);
     const others = this.peers.unreadByRank
       .slice(0, rank + 1)
@@ -244,7 +244,7 @@
    *
    * @param priority - position in the priority order to compare with, 0 first
    */
-  lessUrgentUnread(priority: number): number {
+  lessUrgentUnreadTokens(priority: number): number {
     return this.#ownUnread(({ request }) => request.priority > priority);
   }
 
@@ -274,7 +274,7 @@
    * The newest limit that the replica announced; null if it never announced
    * one.
    */
-  get limit(): NamedLimit | null {
+  get limit(): AnnouncedLimit | null {
     return this.#limit;
   }
 
@@ -293,7 +293,7 @@
    * end of a limit is kept with its time, so that older announcements don't
    * override it.
    */
-  onLimit(limit: NamedLimit): void {
+  onLimit(limit: AnnouncedLimit): void {
     const known = this.#limit;
     const isNews = limit.perS !== null || this.limitPerS !== null;
     if (isNews && limit.atMs >= (known?.atMs ?? -Infinity)) {
@@ -324,7 +324,8 @@
    * @param pauseMs - the interval, in milliseconds
    */
   onEventInterval(pauseMs: number): void {
-    this.paceMs += EVENT_INTERVAL_WEIGHT * (pauseMs - this.paceMs);
+    this.eventIntervalMs +=
+      EVENT_INTERVAL_WEIGHT * (pauseMs - this.eventIntervalMs);
   }
 
   /**
@@ -337,7 +338,7 @@
    *
    * @param priority - position of the requests in the priority order, 0 first
    */
-  slownessFor(priority: number): number {
+  latencyRatioFor(priority: number): number {
     return this.#latencyRatios.get(priority) ?? 1;
   }
 
@@ -354,7 +355,7 @@
       MAX_LATENCY_RATIO,
       Math.max(MIN_LATENCY_RATIO, ratio),
     );
-    const before = this.slownessFor(priority);
+    const before = this.latencyRatioFor(priority);
     const after = before + LATENCY_RATIO_WEIGHT * (bounded - before);
     this.#latencyRatios.set(priority, after);
   }
--- a/packages/decisions/src/gateway/ConfigurationHistory.ts
+++ b/packages/decisions/src/gateway/ConfigurationHistory.ts
@@ -68,7 +68,7 @@
    *
    * @param ms - length of the period, in milliseconds
    */
-  newest(ms: number): readonly ConfigurationChanges[] {
+  recentChanges(ms: number): readonly ConfigurationChanges[] {
     const fromMs = this.clock() - ms;
     return this.#entries
       .filter(({ atMs }) => atMs >= fromMs)
@@ -85,7 +85,7 @@
  * @returns the resulting configuration; null if no change starts at the version
  *   of `known`
  */
-export function followChanges(
+export function applyChangeSequence(
   known: RoutingConfiguration,
   changes: readonly ConfigurationChanges[],
 ): RoutingConfiguration | null {
--- a/packages/decisions/src/gateway/GatewayBoard.ts
+++ b/packages/decisions/src/gateway/GatewayBoard.ts
@@ -85,7 +85,7 @@
    * When the newest view reported by another instance was current, on the
    * store's clock.
    */
-  othersAsOfMs: number;
+  peersAsOfMs: number;
   /** Number of live instances, including this one. */
   instances: number;
 }
@@ -124,7 +124,7 @@
     configurations: new ConfigurationHistory(clock),
     table: null,
     configurationAsOfMs: -Infinity,
-    othersAsOfMs: -Infinity,
+    peersAsOfMs: -Infinity,
     instances: 1,
   };
 }
@@ -135,7 +135,7 @@
  * @param board - the blackboard
  * @param service - id of the service
  */
-export function learningOf(
+export function estimatesOf(
   board: GatewayBoard,
   service: ServiceId,
 ): ServiceEstimates {
--- a/packages/decisions/src/gateway/GatewayRouter.ts
+++ b/packages/decisions/src/gateway/GatewayRouter.ts
@@ -7,7 +7,7 @@
   RoutingConfiguration,
 } from '@jujubecroft/types';
 
-import { CAUTIOUS_CRASHES } from './crashes/CrashLedger.js';
+import { MIN_SUSPECT_CRASHES } from './crashes/CrashLedger.js';
 import { crashesOf, isBarred } from './crashes/crashesOf.js';
 import { beginAttempt, recordBytes, recordEnd } from './attemptLifecycle.js';
 import type {
@@ -20,7 +20,11 @@
 import type { GatewayBoard } from './GatewayBoard.js';
 import type { Match } from './matchRequest.js';
 import { matchRequest } from './matchRequest.js';
-import type { HeardReport, OwnUse, PeerWork } from './PeerLoadTracker.js';
+import type {
+  RelayedLoadReport,
+  ReplicaUse,
+  PeerUpdate,
+} from './PeerLoadTracker.js';
 import { PeerLoadTracker } from './PeerLoadTracker.js';
 import type { PlacedCandidate } from './placement/PlacementPolicy.js';
 import type { GatewayPolicies, PlacementDecision } from './placeRequest.js';
@@ -122,7 +126,7 @@
    * @param route - route of the request
    * @param timeLeftMs - time until the caller's deadline, in milliseconds
    */
-  cameBack(route: Route, timeLeftMs: number): boolean {
+  isCallerRetry(route: Route, timeLeftMs: number): boolean {
     const detector =
       this.#retryDetectors.get(route.id) ?? new CallerRetryDetector();
     this.#retryDetectors.set(route.id, detector);
@@ -160,7 +164,7 @@
    *   instance
    * @returns the attempt
    */
-  begin(
+  beginAttempt(
     request: GatewayRequest,
     placed: PlacedCandidate,
     number: number,
@@ -233,10 +237,10 @@
       ...counts,
       route: request.route,
       timeLeftMs: request.deadlineMs - this.board.clock(),
-      retryHelps: () => this.board.retryGain.isWorthIt(request.route.id),
+      retryHelps: () => this.board.retryGain.shouldRetry(request.route.id),
       isSuspect: () =>
-        crashesOf(this.board, request).length >= CAUTIOUS_CRASHES,
-      takeRepeat: () => this.board.budget.take(request.service.id),
+        crashesOf(this.board, request).length >= MIN_SUSPECT_CRASHES,
+      takeRetry: () => this.board.budget.take(request.service.id),
     });
   }
 
@@ -244,7 +248,7 @@
    * Returns the attempts to be continued on another replica because theirs has
    * become unresponsive or has lost the answer.
    */
-  findSilent(): readonly GatewayAttempt[] {
+  findAttemptsToMove(): readonly GatewayAttempt[] {
     return [...this.board.backends.values()].flatMap(load =>
       [...load.attempts].filter(attempt =>
         shouldMoveElsewhere(this.board, attempt),
@@ -256,7 +260,7 @@
    * Returns the attempts without a first byte whose content has crashed several
    * other replicas and may crash this one.
    */
-  findBarred(): readonly GatewayAttempt[] {
+  findBarredAttempts(): readonly GatewayAttempt[] {
     if (this.board.crashes.barred.length === 0) {
       return [];
     }
@@ -276,7 +280,7 @@
    * that crashes without closing its connections leaves them open, and since it
    * answers other requests after the restart it does not look unresponsive.
    */
-  takeOrphans(): readonly GatewayAttempt[] {
+  takeOrphanedAttempts(): readonly GatewayAttempt[] {
     const { supersededRuns } = this.board;
     const orphans = [...supersededRuns].flatMap(({ attempts }) => [
       ...attempts,
@@ -294,7 +298,7 @@
   }
 
   /** This instance's use of each replica, to be sent to other instances. */
-  get ownUses(): readonly OwnUse[] {
+  get ownReplicaUses(): readonly ReplicaUse[] {
     return [...this.board.backends.values()]
       .filter(({ inFlight }) => inFlight > 0)
       .map(({ replica, inFlight, ownUnreadByRank }) => ({
@@ -313,7 +317,7 @@
    * relaying the reports, every instance knows the load of each replica within
    * a second.
    */
-  get heardReports(): readonly HeardReport[] {
+  get loadReports(): readonly RelayedLoadReport[] {
     const nowMs = this.board.clock();
     return [...this.board.backends.values()].flatMap(load => {
       const report = load.freshReport;
@@ -325,8 +329,8 @@
   }
 
   /** Records the work and the load reports that another instance sent. */
-  onPeerWork(peer: InstanceId, work: PeerWork): void {
-    this.#peerLoad.onPeerLoad(peer, work);
+  onPeerUpdate(peer: InstanceId, work: PeerUpdate): void {
+    this.#peerLoad.onPeerUpdate(peer, work);
   }
 
   /** Updates the set of live instances. */
--- a/packages/decisions/src/gateway/PeerLoadTracker.ts
+++ b/packages/decisions/src/gateway/PeerLoadTracker.ts
@@ -1,6 +1,6 @@
 import type { BackendServerId, InstanceId } from '@jujubecroft/types';
 
-import type { SeenLength } from './AnswerLengths.js';
+import type { ObservedLength } from './AnswerLengths.js';
 import type { PeerUse } from './BackendLoad.js';
 import { NO_PEER_USE } from './BackendLoad.js';
 import type { GatewayBoard } from './GatewayBoard.js';
@@ -15,27 +15,27 @@
 }
 
 /** One instance's use of a replica, as reported to the others. */
-export interface OwnUse extends PeerUse, ReplicaRun {}
+export interface ReplicaUse extends PeerUse, ReplicaRun {}
 
 /** Load reported by a replica, as relayed by another instance. */
-export interface HeardReport extends ReplicaRun {
+export interface RelayedLoadReport extends ReplicaRun {
   readonly total: number;
   readonly ageMs: number;
 }
 
 /** Work and load reports received from another instance. */
-export interface PeerWork {
+export interface PeerUpdate {
   /**
    * The newest report of each replica, received by that instance itself or
    * relayed.
    */
-  readonly reports: readonly HeardReport[];
-  readonly uses: readonly OwnUse[];
+  readonly reports: readonly RelayedLoadReport[];
+  readonly uses: readonly ReplicaUse[];
   readonly demands: readonly RouteDemand[];
-  readonly lengths: readonly SeenLength[];
+  readonly lengths: readonly ObservedLength[];
 }
 
-interface ReceivedUpdate extends PeerWork {
+interface ReceivedUpdate extends PeerUpdate {
   readonly atMs: number;
 }
 
@@ -72,7 +72,7 @@
   constructor(private readonly board: GatewayBoard) {}
 
   /** Records the work and the load reports that another instance sent. */
-  onPeerLoad(peer: InstanceId, work: PeerWork): void {
+  onPeerUpdate(peer: InstanceId, work: PeerUpdate): void {
     work.reports
       .filter(report => this.#isCurrentRun(report))
       .forEach(({ id, total, ageMs }) => {
--- a/packages/decisions/src/gateway/PromptMemory.ts
+++ b/packages/decisions/src/gateway/PromptCacheEstimate.ts
@@ -14,7 +14,7 @@
  * are identified by their whole path from the start of the prompt. The least
  * recently used parts are evicted first, as on the replica.
  */
-export class PromptMemory {
+export class PromptCacheEstimate {
   readonly #tokensByPath = new Map<string, number>();
   #tokens = 0;
   readonly #maxTokens: number;
@@ -39,7 +39,7 @@
 
   /** Records that the replica read a prompt. */
   onRead(parts: readonly PromptPart[]): void {
-    pathsOf(parts).forEach((path, index) => {
+    prefixPathsOf(parts).forEach((path, index) => {
       const tokens = parts[index]?.tokens ?? 0;
       this.#tokens -= this.#tokensByPath.get(path) ?? 0;
       // Re-inserted, so that the map stays in order of use.
@@ -66,7 +66,7 @@
 /**
  * Returns for each part a path that includes the ids of all parts before it.
  */
-export function pathsOf(parts: readonly PromptPart[]): readonly string[] {
+export function prefixPathsOf(parts: readonly PromptPart[]): readonly string[] {
   return parts.map((_, index) =>
     parts
       .slice(0, index + 1)
--- a/packages/decisions/src/gateway/ReplicaRegistry.ts
+++ b/packages/decisions/src/gateway/ReplicaRegistry.ts
@@ -83,7 +83,7 @@
    *
    * @param forMs - time within which live replicas come back, in milliseconds
    */
-  expectLapses(forMs: number): void {
+  beginLapseGracePeriod(forMs: number): void {
     this.#lapseGraceUntilMs = this.storeClock.latestMs + forMs;
   }
 
@@ -152,7 +152,7 @@
    * @returns the changes since that version; only the newest ones if there are
    *   more
    */
-  changesWithin(version: number, limit: number): ReplicaChanges {
+  limitedChangesSince(version: number, limit: number): ReplicaChanges {
     const changes = this.changesSince(version);
     return changes.records.length > limit ? this.newestChanges(limit) : changes;
   }
@@ -183,7 +183,7 @@
    * version even though it lacks replicas that left before the oldest of the
    * changes.
    */
-  connects({
+  followsWithoutGap({
     complete,
     from,
   }: Pick<ReplicaChanges, 'complete' | 'from'>): boolean {
--- a/packages/decisions/src/gateway/RouteDemand.ts
+++ b/packages/decisions/src/gateway/RouteDemand.ts
@@ -70,7 +70,7 @@
    * Returns the mean number of tokens to be read per admitted request; 0 before
    * the first request.
    */
-  meanTokens(route: RouteId): number {
+  meanAdmittedTokens(route: RouteId): number {
     return this.#admittedSizes.get(route) ?? 0;
   }
 
--- a/packages/decisions/src/gateway/admission/createHeadroomCheck.ts
+++ b/packages/decisions/src/gateway/admission/createHeadroomCheck.ts
@@ -2,7 +2,7 @@
 
 import type { BackendLoad, GatewayRequest } from '../BackendLoad.js';
 import type { GatewayBoard } from '../GatewayBoard.js';
-import { learningOf } from '../GatewayBoard.js';
+import { estimatesOf } from '../GatewayBoard.js';
 import type { RouteClass } from '../PriorityOrder.js';
 import { firstEventMs } from '../firstEventMs.js';
 import { requestRank } from '../requestRank.js';
@@ -38,9 +38,10 @@
   { route, service, priority }: RequestKind,
   urgency: 'deferred' | 'new',
 ): number {
-  const { engine } = learningOf(board, service.id);
+  const { engine } = estimatesOf(board, service.id);
   const rank = requestRank(board, { service, priority }, urgency);
-  const tokens = load.unreadAhead(rank) + board.demand.meanTokens(route.id);
+  const tokens =
+    load.unreadTokensAhead(rank) + board.demand.meanAdmittedTokens(route.id);
   const isDeferred = urgency === 'deferred';
   return firstEventMs(engine, load, { priority, isDeferred, tokens });
 }
@@ -84,7 +85,7 @@
     const leftMs = (1 - options.maxRetryShare) * route.timeoutMs;
     return (
       waitMs <= bounds(urgent, leftMs).allowedMs &&
-      waitMs + pieces * load.paceMs <= options.lateWholeShare * leftMs
+      waitMs + pieces * load.eventIntervalMs <= options.lateWholeShare * leftMs
     );
   };
 
@@ -95,7 +96,7 @@
     // Routes that nobody calls have no known answer length and reserve no
     // headroom.
     return moreUrgent.every(other => {
-      const pieces = lengths.known(other.route.id);
+      const pieces = lengths.observedMean(other.route.id);
       return (
         pieces === null ||
         pieces >= ownPieces ||
--- a/packages/decisions/src/gateway/admission/first-event-target.ts
+++ b/packages/decisions/src/gateway/admission/first-event-target.ts
@@ -3,7 +3,7 @@
 import { createPolicyUnit } from '../../policies/createPolicyUnit.js';
 import type { GatewayRequest } from '../BackendLoad.js';
 import { callerPatienceMs } from '../callerPatience.js';
-import { excusedMs } from '../excusedMs.js';
+import { promptSizeAllowanceMs } from '../promptSizeAllowanceMs.js';
 import type { GatewayBoard } from '../GatewayBoard.js';
 import type { GatewayAdmission } from './GatewayAdmission.js';
 import type { HeadroomOptions } from './createHeadroomCheck.js';
@@ -53,7 +53,7 @@
     const leftMs = request.deadlineMs - nowMs;
     const waitedMs = nowMs - request.arrivedMs;
     const { allowedMs: baseAllowedMs, isLeastUrgent } = bounds(request, leftMs);
-    const sizeAllowanceMs = excusedMs(board, request, best);
+    const sizeAllowanceMs = promptSizeAllowanceMs(board, request, best);
     const maxAllowedMs = Math.max(
       baseAllowedMs,
       feasibleWaitMs(request, leftMs),
@@ -65,7 +65,7 @@
     // prompt. Where it is uncertain whether answers end in time, the least
     // urgent requests are refused first. Callers that retried as advised get
     // the wider bound, so that they are not turned away again.
-    const isShedFirst = isLeastUrgent && !request.cameBack;
+    const isShedFirst = isLeastUrgent && !request.isCallerRetry;
     const wholeShare = isShedFirst
       ? options.wholeShare
       : options.lateWholeShare;
--- a/packages/decisions/src/gateway/attemptLifecycle.ts
+++ b/packages/decisions/src/gateway/attemptLifecycle.ts
@@ -1,8 +1,8 @@
 import type { GatewayAttempt, GatewayRequest } from './BackendLoad.js';
-import { ONE_QUEUE } from './BackendLoad.js';
-import { noteCrash } from './crashes/noteCrash.js';
+import { FIFO_PRIORITY } from './BackendLoad.js';
+import { recordCrashEvidence } from './crashes/recordCrashEvidence.js';
 import type { GatewayBoard } from './GatewayBoard.js';
-import { learningOf } from './GatewayBoard.js';
+import { estimatesOf } from './GatewayBoard.js';
 import { updateReplicaHealth } from './updateReplicaHealth.js';
 import type { PlacedCandidate } from './placement/PlacementPolicy.js';
 import type { Urgency } from './placement/serviceRank.js';
@@ -57,7 +57,7 @@
   board.limits.take(load);
   load.health.onSent();
   if (request.prompt) {
-    load.memory.onRead(request.prompt.parts);
+    load.cacheEstimate.onRead(request.prompt.parts);
     board.demand.onRequest(request.route.id, unreadTokens);
   }
   return attempt;
@@ -73,7 +73,7 @@
   tookMs: number,
 ): void {
   const { service, priority } = attempt.request;
-  const { engine } = learningOf(board, service.id);
+  const { engine } = estimatesOf(board, service.id);
   const aheadMs = attempt.tokensAhead / engine.queueTokensPerMs(priority);
   engine.onDeferredWait(priority, tookMs, aheadMs + engine.baseMs);
 }
@@ -93,7 +93,7 @@
   }
   const { request, sentMs } = attempt;
   const agoMs = request.service.engine ? 0 : clock() - sentMs;
-  duties.usage.onBegan(request, duties.fleetClock.nowMs - agoMs);
+  duties.usage.onStarted(request, duties.fleetClock.nowMs - agoMs);
 }
 
 /**
@@ -130,13 +130,13 @@
   attempt.load.onFirstByte(attempt);
   const { request, load, predictedMs, tokensAhead, sentMs } = attempt;
   const tookMs = nowMs - sentMs;
-  const copyMs = attempt.fetch?.tookMs ?? 0;
+  const copyMs = attempt.fetch?.copyMs ?? 0;
   if (attempt.isDeferred) {
     learnDeferredWait(board, attempt, tookMs);
     return;
   }
   if (request.service.engine) {
-    const { engine } = learningOf(board, request.service.id);
+    const { engine } = estimatesOf(board, request.service.id);
     engine.onFirstEvent(request.priority, tokensAhead, tookMs - copyMs);
     const expectedMs = Math.max(predictedMs, engine.baseMs);
     load.onDuration(request.priority, tookMs, expectedMs);
@@ -152,7 +152,7 @@
   const { load, request } = attempt;
   load.attempts.delete(attempt);
   if (result.kind === 'unsent') {
-    board.limits.giveBack(load);
+    board.limits.refund(load);
   }
   if (request.prompt) {
     board.demand.onEnded(request.route.id);
@@ -168,15 +168,15 @@
     countStartedRequest(board, attempt);
   }
   updateReplicaHealth(board, attempt, result);
-  noteCrash(board, attempt, result);
+  recordCrashEvidence(board, attempt, result);
   if (attempt.number > 1 && result.kind !== 'withdrawn') {
     const answered = result.kind === 'answered';
     board.retryGain.onRetried(request.route.id, answered);
   }
   if (result.kind === 'answered' && !request.service.engine) {
-    const learning = learningOf(board, request.service.id);
+    const learning = estimatesOf(board, request.service.id);
     const tookMs = board.clock() - attempt.sentMs;
     learning.answerMs += ANSWER_WEIGHT * (tookMs - learning.answerMs);
-    load.onDuration(ONE_QUEUE, tookMs, learning.answerMs);
+    load.onDuration(FIFO_PRIORITY, tookMs, learning.answerMs);
   }
 }
--- a/packages/decisions/src/gateway/crashes/CrashLedger.ts
+++ b/packages/decisions/src/gateway/crashes/CrashLedger.ts
@@ -14,7 +14,7 @@
  * Crashes after which a request is only sent to the replica with the fewest
  * requests to lose.
  */
-export const CAUTIOUS_CRASHES = 2;
+export const MIN_SUSPECT_CRASHES = 2;
 /**
  * Time without another crash after which one crash fewer counts against a
  * request. A barred request may then be sent once more, since the model that
@@ -76,7 +76,7 @@
    * Adds a listener that is called when there is something that other instances
    * should know.
    */
-  onNews(listener: () => void): void {
+  onChange(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
@@ -237,7 +237,7 @@
     }
     const held = this.#crashesByContent.get(content) ?? new Set();
     this.#crashesByContent.set(content, held.add(crash));
-    if (held.size >= CAUTIOUS_CRASHES) {
+    if (held.size >= MIN_SUSPECT_CRASHES) {
       this.#repeated.add(content);
     }
     return true;
@@ -273,7 +273,7 @@
     crash.suspects.forEach(content => {
       const held = this.#crashesByContent.get(content);
       held?.delete(crash);
-      if ((held?.size ?? 0) < CAUTIOUS_CRASHES) {
+      if ((held?.size ?? 0) < MIN_SUSPECT_CRASHES) {
         this.#repeated.delete(content);
       }
       if (held?.size === 0) {
--- a/packages/decisions/src/gateway/crashes/noteCrash.ts
+++ b/packages/decisions/src/gateway/crashes/recordCrashEvidence.ts
@@ -46,7 +46,7 @@
  * @param attempt - the attempt that has just ended
  * @param result - how it ended
  */
-export function noteCrash(
+export function recordCrashEvidence(
   board: GatewayBoard,
   attempt: GatewayAttempt,
   result: AttemptResult,
--- a/packages/decisions/src/gateway/judgeView.ts
+++ b/packages/decisions/src/gateway/determineViewState.ts
@@ -36,12 +36,15 @@
  * @param boundMs - time within which a change must be in force, in milliseconds
  * @returns the state of the view
  */
-export function judgeView(board: GatewayBoard, boundMs: number): ViewState {
+export function determineViewState(
+  board: GatewayBoard,
+  boundMs: number,
+): ViewState {
   const usableMs = USABLE_AGE_SHARE * boundMs;
   if (viewAgeMs(board) <= usableMs) {
     return 'current';
   }
-  return board.storeClock.ageOf(board.othersAsOfMs) <= usableMs
+  return board.storeClock.ageOf(board.peersAsOfMs) <= usableMs
     ? 'behind'
     : 'unknown';
 }
--- a/packages/decisions/src/gateway/firstEventMs.ts
+++ b/packages/decisions/src/gateway/firstEventMs.ts
@@ -30,5 +30,5 @@
 ): number {
   const delayFactor = isDeferred ? engine.deferredDelayFactor(priority) : 1;
   const readMs = tokens / engine.queueTokensPerMs(priority);
-  return engine.baseMs + load.slownessFor(priority) * delayFactor * readMs;
+  return engine.baseMs + load.latencyRatioFor(priority) * delayFactor * readMs;
 }
--- a/packages/decisions/src/gateway/index.ts
+++ b/packages/decisions/src/gateway/index.ts
@@ -2,7 +2,7 @@
 export type { StopPlan } from './admission/outlastsStop.js';
 export { outlastsStop } from './admission/outlastsStop.js';
 export type { GatewayVerdict } from './admission/GatewayAdmission.js';
-export type { SeenLength } from './AnswerLengths.js';
+export type { ObservedLength } from './AnswerLengths.js';
 export type {
   BackendLoad,
   GatewayAttempt,
@@ -14,25 +14,32 @@
 export { CrashLedger } from './crashes/CrashLedger.js';
 export { callerPatienceMs } from './callerPatience.js';
 export type { ConfigurationChanges } from './configurationChanges.js';
-export { followChanges } from './ConfigurationHistory.js';
+export { applyChangeSequence } from './ConfigurationHistory.js';
 export { defaultGatewayPolicies } from './defaultGatewayPolicies.js';
 export type { GatewayBoard, GatewayBoardOptions } from './GatewayBoard.js';
 export { createGatewayBoard } from './GatewayBoard.js';
 export type { GatewayPolicies, PlacementDecision } from './placeRequest.js';
 export { GatewayRouter } from './GatewayRouter.js';
-export type { ViewState } from './judgeView.js';
-export { judgeView, viewAgeMs } from './judgeView.js';
+export type { ViewState } from './determineViewState.js';
+export { determineViewState, viewAgeMs } from './determineViewState.js';
 export type { Match } from './matchRequest.js';
-export type { HeardReport, OwnUse, PeerWork } from './PeerLoadTracker.js';
+export type {
+  RelayedLoadReport,
+  ReplicaUse,
+  PeerUpdate,
+} from './PeerLoadTracker.js';
 export {
   isReader,
-  isReaderDue,
+  shouldQueryReader,
   rankOf,
-  readAtAgeMs,
+  storeReadAgeMs,
   readersOf,
 } from './readDuty.js';
-export type { LimitReport } from './limits/limitNews.js';
-export { limitNews, takeLimits } from './limits/limitNews.js';
+export type { LimitReport } from './limits/createLimitReports.js';
+export {
+  createLimitReports,
+  applyLimitReports,
+} from './limits/createLimitReports.js';
 export { leastBusy } from './placement/least-busy.js';
 export { toleranceSplit } from './placement/tolerance-split.js';
 export type { PlacedCandidate } from './placement/PlacementPolicy.js';
--- a/packages/decisions/src/gateway/limits/ReplicaLimits.ts
+++ b/packages/decisions/src/gateway/limits/ReplicaLimits.ts
@@ -7,8 +7,8 @@
 import type { Clock } from '../../blackboard/Blackboard.js';
 import type { BurstRule } from '../../limits/TokenBucket.js';
 import { TokenBucket } from '../../limits/TokenBucket.js';
-import { byHash, byHashed, hashed } from '../../util/byHash.js';
-import type { BackendLoad, NamedLimit } from '../BackendLoad.js';
+import { byHash, compareHashed, toHashedId } from '../../util/byHash.js';
+import type { BackendLoad, AnnouncedLimit } from '../BackendLoad.js';
 import type { ReplicaRegistry } from '../ReplicaRegistry.js';
 import { limitShare } from './limitShare.js';
 
@@ -65,7 +65,7 @@
   }
 
   /** Adds a listener that is called whenever a limit has changed. */
-  onNews(listener: () => void): void {
+  onChange(listener: () => void): void {
     this.#listeners.push(listener);
   }
 
@@ -80,7 +80,7 @@
   }
 
   /** Applies the limit that a replica reported to this instance. */
-  onAnswer(load: BackendLoad, limit: NamedLimit): void {
+  onAnswer(load: BackendLoad, limit: AnnouncedLimit): void {
     this.#applyLimit(load, limit);
   }
 
@@ -88,7 +88,7 @@
    * Applies the limit that a replica reported to another instance, if it is
    * newer.
    */
-  onPeer(load: BackendLoad, limit: NamedLimit): void {
+  onPeer(load: BackendLoad, limit: AnnouncedLimit): void {
     const known = load.limit;
     const isLimitEnd = limit.perS === null && load.limitPerS !== null;
     const slackMs = isLimitEnd ? END_SLACK_MS : 0;
@@ -141,11 +141,11 @@
   }
 
   /** Returns the token of a request that did not reach its replica. */
-  giveBack(load: BackendLoad): void {
+  refund(load: BackendLoad): void {
     this.#bucketOf(load)?.take(-1);
   }
 
-  #applyLimit(load: BackendLoad, limit: NamedLimit): void {
+  #applyLimit(load: BackendLoad, limit: AnnouncedLimit): void {
     const before = load.limitPerS;
     load.onLimit(limit);
     if (load.limitPerS !== before) {
@@ -208,8 +208,8 @@
     });
     byService.forEach(ids => {
       ids
-        .map(id => ({ known: id, ...hashed(id) }))
-        .sort(byHashed)
+        .map(id => ({ known: id, ...toHashedId(id) }))
+        .sort(compareHashed)
         .forEach(({ known }, index) => {
           this.#positions.set(known, { index, replicas: ids.length });
         });
--- a/packages/decisions/src/gateway/limits/limitNews.ts
+++ b/packages/decisions/src/gateway/limits/createLimitReports.ts
@@ -1,6 +1,6 @@
 import type { BackendServerId } from '@jujubecroft/types';
 
-import type { BackendLoad, NamedLimit } from '../BackendLoad.js';
+import type { BackendLoad, AnnouncedLimit } from '../BackendLoad.js';
 import type { GatewayBoard } from '../GatewayBoard.js';
 import { isSameRun } from '../replicaRuns.js';
 
@@ -24,7 +24,7 @@
 
 interface KnownLimit {
   readonly load: BackendLoad;
-  readonly limit: NamedLimit;
+  readonly limit: AnnouncedLimit;
 }
 
 function sampleOf(
@@ -45,7 +45,9 @@
  * @param board - the blackboard
  * @returns the reports
  */
-export function limitNews(board: GatewayBoard): readonly LimitReport[] {
+export function createLimitReports(
+  board: GatewayBoard,
+): readonly LimitReport[] {
   const known = [...board.backends.values()].flatMap(load =>
     load.limit ? [{ load, limit: load.limit }] : [],
   );
@@ -74,7 +76,7 @@
  * @param reports - the limits; those of unknown replicas and of other runs are
  *   ignored
  */
-export function takeLimits(
+export function applyLimitReports(
   board: GatewayBoard,
   reports: readonly LimitReport[],
 ): void {
--- a/packages/decisions/src/gateway/placeRequest.ts
+++ b/packages/decisions/src/gateway/placeRequest.ts
@@ -5,10 +5,10 @@
   GatewayVerdict,
 } from './admission/GatewayAdmission.js';
 import type { BackendLoad, GatewayRequest } from './BackendLoad.js';
-import { CAUTIOUS_CRASHES, MAX_CRASHES } from './crashes/CrashLedger.js';
+import { MIN_SUSPECT_CRASHES, MAX_CRASHES } from './crashes/CrashLedger.js';
 import { crashesOf } from './crashes/crashesOf.js';
 import type { CrashedRun } from './crashes/crashNews.js';
-import { excusedMs } from './excusedMs.js';
+import { promptSizeAllowanceMs } from './promptSizeAllowanceMs.js';
 import type { GatewayBoard } from './GatewayBoard.js';
 import { candidatesOf } from './GatewayBoard.js';
 import type {
@@ -97,7 +97,7 @@
   usable: readonly BackendLoad[],
   crashed: readonly CrashedRun[],
 ): readonly BackendLoad[] {
-  if (crashed.length < CAUTIOUS_CRASHES) {
+  if (crashed.length < MIN_SUSPECT_CRASHES) {
     return usable;
   }
   // The entry of a crashed run remains for a while and looks unused. A later
@@ -127,7 +127,8 @@
     return ranked;
   }
   const spentMs = board.clock() - request.arrivedMs;
-  const dueMs = request.route.latencyTargetMs + excusedMs(board, request, best);
+  const dueMs =
+    request.route.latencyTargetMs + promptSizeAllowanceMs(board, request, best);
   const isLate = spentMs + best.predictedMs > dueMs;
   return isLate ? place(request, usable, true) : ranked;
 }
--- a/packages/decisions/src/gateway/placement/PlacementPolicy.ts
+++ b/packages/decisions/src/gateway/placement/PlacementPolicy.ts
@@ -11,7 +11,7 @@
   /** Tokens that are expected to be copied. */
   readonly tokens: number;
   /** Expected duration of the copy, in milliseconds. */
-  readonly tookMs: number;
+  readonly copyMs: number;
   /** Whether this instance knows that the other replica caches them. */
   readonly isKnown: boolean;
 }
--- a/packages/decisions/src/gateway/placement/cacheFetch.ts
+++ b/packages/decisions/src/gateway/placement/cacheFetch.ts
@@ -136,6 +136,6 @@
     return null;
   }
   return tookMs < tokens / tokensPerMs
-    ? { from: best.load.replica, tokens, tookMs, isKnown: best.isKnown }
+    ? { from: best.load.replica, tokens, copyMs: tookMs, isKnown: best.isKnown }
     : null;
 }
--- a/packages/decisions/src/gateway/placement/groupSegments.ts
+++ b/packages/decisions/src/gateway/placement/groupSegments.ts
@@ -1,6 +1,6 @@
 import type { BackendLoad, GatewayRequest } from '../BackendLoad.js';
 import type { GatewayBoard } from '../GatewayBoard.js';
-import { learningOf } from '../GatewayBoard.js';
+import { estimatesOf } from '../GatewayBoard.js';
 import { splitReplicas } from './splitReplicas.js';
 import type { ToleranceGroup } from './toleranceGroups.js';
 import { toleranceGroups } from './toleranceGroups.js';
@@ -74,7 +74,7 @@
     request: GatewayRequest,
   ): number => {
     const { service } = request;
-    const { engine } = learningOf(board, service.id);
+    const { engine } = estimatesOf(board, service.id);
     const { tokensPerS, inFlight } = board.demand.total(routes);
     const use = index === 0 ? options.delicateUse : options.middleUse;
     const replicasForTokens =
--- a/packages/decisions/src/gateway/placement/least-busy.ts
+++ b/packages/decisions/src/gateway/placement/least-busy.ts
@@ -2,9 +2,9 @@
 
 import { createPolicyUnit } from '../../policies/createPolicyUnit.js';
 import type { BackendLoad } from '../BackendLoad.js';
-import { ONE_QUEUE } from '../BackendLoad.js';
+import { FIFO_PRIORITY } from '../BackendLoad.js';
 import type { GatewayBoard } from '../GatewayBoard.js';
-import { learningOf } from '../GatewayBoard.js';
+import { estimatesOf } from '../GatewayBoard.js';
 import type { PlacedCandidate, PlacementPolicy } from './PlacementPolicy.js';
 
 interface LeastBusyOptions {
@@ -27,11 +27,12 @@
   options: LeastBusyOptions,
 ): PlacementPolicy {
   return ({ service }, candidates, isDeferred) => {
-    const { answerMs } = learningOf(board, service.id);
+    const { answerMs } = estimatesOf(board, service.id);
     const evaluate = (load: BackendLoad): PlacedCandidate => {
       const slots = Math.max(1, load.replica.slots);
       const rounds = 1 + queueLength(load) / slots;
-      const predictedMs = answerMs * load.slownessFor(ONE_QUEUE) * rounds;
+      const predictedMs =
+        answerMs * load.latencyRatioFor(FIFO_PRIORITY) * rounds;
       const isRemote = load.replica.failureDomain !== board.failureDomain;
       const busyMs = (answerMs * load.totalInFlight) / slots;
       const cost =
--- a/packages/decisions/src/gateway/placement/tolerance-split.ts
+++ b/packages/decisions/src/gateway/placement/tolerance-split.ts
@@ -2,12 +2,12 @@
 import type { PromptPart } from '@jujubecroft/types';
 
 import { createPolicyUnit } from '../../policies/createPolicyUnit.js';
-import { byHashed } from '../../util/byHash.js';
+import { compareHashed } from '../../util/byHash.js';
 import type { BackendLoad, GatewayRequest } from '../BackendLoad.js';
 import type { GatewayBoard } from '../GatewayBoard.js';
-import { learningOf } from '../GatewayBoard.js';
+import { estimatesOf } from '../GatewayBoard.js';
 import { firstEventMs } from '../firstEventMs.js';
-import { pathsOf } from '../PromptMemory.js';
+import { prefixPathsOf } from '../PromptCacheEstimate.js';
 import { requestRank } from '../requestRank.js';
 import type { CacheHolder } from './cacheFetch.js';
 import { bestHolders, chooseFetch, homeReplica } from './cacheFetch.js';
@@ -96,10 +96,10 @@
     const shared = sharedParts(request);
     const last = shared.at(-1);
     const home = last && homeReplica(last, loads);
-    const paths = pathsOf(parts);
+    const paths = prefixPathsOf(parts);
     const sharedTokens = tokensOf(shared);
     const cached = new Map(
-      all.map(load => [load, load.memory.cachedTokens(parts, paths)]),
+      all.map(load => [load, load.cacheEstimate.cachedTokens(parts, paths)]),
     );
     const holders = [...cached].map(([load, known]) => {
       const likelyTokens =
@@ -115,7 +115,7 @@
     return {
       promptTokens: prompt?.promptTokens ?? 0,
       sharedTokens,
-      pieces: board.lengths.expect(route.id, prompt, service),
+      pieces: board.lengths.predict(route.id, prompt, service),
       home,
       holders: bestHolders(holders),
       cached,
@@ -130,7 +130,7 @@
     context: RequestContext,
   ): PlacedCandidate => {
     const { promptTokens, sharedTokens, pieces, isDeferred } = context;
-    const { engine } = learningOf(board, request.service.id);
+    const { engine } = estimatesOf(board, request.service.id);
     const isHome = load === context.home;
     const cached = context.cached.get(load) ?? 0;
     const ownTokens = isHome
@@ -144,9 +144,9 @@
       spec: request.service.engine,
     });
     const fetchedTokens = fetch?.tokens ?? 0;
-    const copyMs = fetch?.tookMs ?? 0;
+    const copyMs = fetch?.copyMs ?? 0;
     const unreadTokens = Math.max(0, promptTokens - ownTokens - fetchedTokens);
-    const tokensBefore = load.unreadAhead(context.rank);
+    const tokensBefore = load.unreadTokensAhead(context.rank);
     const tokensAhead = tokensBefore + unreadTokens;
     const { priority } = request;
     const eventMs = (tokens: number): number =>
@@ -163,7 +163,7 @@
     const slots = request.service.engine?.slots ?? Infinity;
     const occupancy = load.totalInFlight / slots;
     const isRemote = load.replica.failureDomain !== board.failureDomain;
-    const streamMs = pieces * load.paceMs;
+    const streamMs = pieces * load.eventIntervalMs;
     const cost =
       predictedMs +
       rereadMs +
@@ -185,7 +185,7 @@
 
   return (request, candidates, isDeferred) => {
     const ranked = [...candidates].sort((a, b) =>
-      byHashed(a.hashedId, b.hashedId),
+      compareHashed(a.hashedId, b.hashedId),
     );
     // Only replicas without a limit are divided into groups, because they can
     // serve a group all the time. Requests of every group may use a replica
--- a/packages/decisions/src/gateway/excusedMs.ts
+++ b/packages/decisions/src/gateway/promptSizeAllowanceMs.ts
@@ -16,7 +16,7 @@
  * @param best - its best candidate
  * @returns the time in milliseconds; 0 for a request of usual size or smaller
  */
-export function excusedMs(
+export function promptSizeAllowanceMs(
   board: GatewayBoard,
   { route }: GatewayRequest,
   { unreadTokens, ownReadMs }: PlacedCandidate,
--- a/packages/decisions/src/gateway/readDuty.ts
+++ b/packages/decisions/src/gateway/readDuty.ts
@@ -1,6 +1,6 @@
 import type { InstanceId } from '@jujubecroft/types';
 
-import { byHash, byHashed, hashed } from '../util/byHash.js';
+import { byHash, compareHashed, toHashedId } from '../util/byHash.js';
 
 /**
  * Number of instances that read the store continuously; the second is a backup.
@@ -44,8 +44,8 @@
  */
 export function readersOf(live: readonly InstanceId[]): readonly InstanceId[] {
   return live
-    .map(id => ({ ...hashed(id), instance: id }))
-    .sort(byHashed)
+    .map(id => ({ ...toHashedId(id), instance: id }))
+    .sort(compareHashed)
     .slice(0, READER_COUNT)
     .map(({ instance }) => instance);
 }
@@ -66,7 +66,7 @@
  * @param boundMs - time within which a change must be in force, in milliseconds
  * @returns whether to query a reader
  */
-export function isReaderDue(ageMs: number, boundMs: number): boolean {
+export function shouldQueryReader(ageMs: number, boundMs: number): boolean {
   return ageMs > QUERY_AGE_SHARE * boundMs;
 }
 
@@ -81,7 +81,7 @@
  * @param boundMs - time within which a change must be in force, in milliseconds
  * @returns the age in milliseconds; 0 for instances that read continuously
  */
-export function readAtAgeMs(rank: number, boundMs: number): number {
+export function storeReadAgeMs(rank: number, boundMs: number): number {
   if (isReader(rank)) {
     return 0;
   }
--- a/packages/decisions/src/gateway/recovery/RetryGain.ts
+++ b/packages/decisions/src/gateway/recovery/RetryGain.ts
@@ -32,7 +32,7 @@
   }
 
   /** Whether another failure of the route should be retried. */
-  isWorthIt(route: RouteId): boolean {
+  shouldRetry(route: RouteId): boolean {
     if (
       (this.#successRates.get(route) ?? PRIOR_SUCCESS_RATE) >= MIN_SUCCESS_RATE
     ) {
--- a/packages/decisions/src/gateway/recovery/decideRecovery.ts
+++ b/packages/decisions/src/gateway/recovery/decideRecovery.ts
@@ -21,7 +21,7 @@
   /** Whether the request was lost in more than one crash. */
   readonly isSuspect: () => boolean;
   /** Takes a retry from the shared budget; false if none is left. */
-  readonly takeRepeat: () => boolean;
+  readonly takeRetry: () => boolean;
 }
 
 /** Maximum number of connections that are tried for one request before it is refused. */
@@ -51,7 +51,7 @@
     facts.sent < facts.route.maxAttempts &&
     facts.timeLeftMs > MIN_RETRY_MS &&
     !facts.isSuspect() &&
-    facts.takeRepeat()
+    facts.takeRetry()
   );
 }
 
--- a/packages/decisions/src/gateway/usableCandidates.ts
+++ b/packages/decisions/src/gateway/usableCandidates.ts
@@ -3,10 +3,10 @@
   GatewayAttempt,
   GatewayRequest,
 } from './BackendLoad.js';
-import { CAUTIOUS_CRASHES } from './crashes/CrashLedger.js';
+import { MIN_SUSPECT_CRASHES } from './crashes/CrashLedger.js';
 import { crashesOf } from './crashes/crashesOf.js';
 import type { GatewayBoard } from './GatewayBoard.js';
-import { candidatesOf, learningOf } from './GatewayBoard.js';
+import { candidatesOf, estimatesOf } from './GatewayBoard.js';
 import { isIdempotent } from './recovery/decideRecovery.js';
 
 /**
@@ -172,7 +172,7 @@
     sentNumber < route.maxAttempts &&
     deadlineMs - board.clock() > MIN_MOVE_TIME_LEFT_MS &&
     board.budget.left(service.id) >= 1 &&
-    crashesOf(board, request).length < CAUTIOUS_CRASHES &&
+    crashesOf(board, request).length < MIN_SUSPECT_CRASHES &&
     candidatesOf(board, service.id).some(
       other =>
         other !== load &&
@@ -220,7 +220,7 @@
   }
   const usualMs = request.service.engine
     ? attempt.predictedMs
-    : learningOf(board, request.service.id).answerMs;
+    : estimatesOf(board, request.service.id).answerMs;
   const patienceMs = Math.max(
     MIN_FIRST_BYTE_TIMEOUT_MS,
     PREDICTION_MULTIPLE * usualMs,
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -55,7 +55,7 @@
   PeerProbeOptions,
 } from './membership/PeerProbes.js';
 export { PeerProbes } from './membership/PeerProbes.js';
-export { MemberStateWatch } from './membership/MemberStateWatch.js';
+export { MemberStateTracker } from './membership/MemberStateTracker.js';
 export type { AttemptFailure } from './policies/recovery/RecoveryPolicy.js';
 export { leastCost } from './policies/routing/least-cost.js';
 export { leastOutstanding } from './policies/routing/least-outstanding.js';
--- a/packages/decisions/src/limits/DemandLedger.ts
+++ b/packages/decisions/src/limits/DemandLedger.ts
@@ -69,7 +69,7 @@
   }
 
   /** Drops organisations for which no instance reports demand any more. */
-  forget(nowMs: number): void {
+  prune(nowMs: number): void {
     this.#demands.forEach((collected, organisation) => {
       this.#dropExpired(collected, nowMs);
       if (collected.byReporter.size === 0) {
--- a/packages/decisions/src/membership/MemberStateWatch.ts
+++ b/packages/decisions/src/membership/MemberStateTracker.ts
@@ -10,7 +10,7 @@
 }
 
 /** Detects changes of member states, for logging. */
-export class MemberStateWatch {
+export class MemberStateTracker {
   readonly #states = new Map<InstanceId, MemberState>();
 
   /**
@@ -19,7 +19,7 @@
    * @param members - all known members
    * @returns changes of state since the previous call
    */
-  look(members: readonly Member[]): readonly MemberChange[] {
+  detectChanges(members: readonly Member[]): readonly MemberChange[] {
     return members
       .filter(({ id, state }) => this.#states.get(id) !== state)
       .map(({ id, state }) => {
--- a/packages/decisions/src/membership/Membership.ts
+++ b/packages/decisions/src/membership/Membership.ts
@@ -42,7 +42,7 @@
    *
    * @param members - number of known members
    */
-  readonly suspectMs: (members: number) => number;
+  readonly suspicionTimeoutMs: (members: number) => number;
   /** Maximum number of facts in one heartbeat. */
   readonly maxFacts: number;
   /**
@@ -60,7 +60,7 @@
 export const DEFAULT_MEMBERSHIP: MembershipOptions = {
   fanout: () => 2,
   periodMs: 1000,
-  suspectMs: () => 4000,
+  suspicionTimeoutMs: () => 4000,
   maxFacts: 12,
   removeAfterMs: 60_000,
   incarnation: 1,
@@ -184,7 +184,7 @@
    * @param except - member to be checked
    * @param count - maximum number of members
    */
-  helpers(except: InstanceId, count: number): readonly Member[] {
+  indirectProbers(except: InstanceId, count: number): readonly Member[] {
     const others = this.#probeable().filter(({ id }) => id !== except);
     return rotated(others, this.random).slice(0, count);
   }
@@ -263,7 +263,7 @@
   tick(): void {
     const nowMs = this.clock();
     const { removeAfterMs } = this.options;
-    const suspectMs = this.options.suspectMs(this.#members.size);
+    const suspectMs = this.options.suspicionTimeoutMs(this.#members.size);
     this.#lastTickMs = nowMs;
     this.members.forEach(member => {
       const ageMs = nowMs - member.sinceMs;
--- a/packages/decisions/src/membership/PeerProbes.ts
+++ b/packages/decisions/src/membership/PeerProbes.ts
@@ -20,7 +20,7 @@
   /** Time between rounds, in milliseconds. */
   readonly periodMs: number;
   /** Time within which a probe is to be answered, in milliseconds. */
-  readonly answerMs: number;
+  readonly answerTimeoutMs: number;
   /** Consecutive unanswered probes after which a member is suspected. */
   readonly missesToSuspect: number;
 }
@@ -67,7 +67,7 @@
   }
 
   /** Whether a probe of this address is outstanding. */
-  awaits(address: string): boolean {
+  hasOutstanding(address: string): boolean {
     return [...this.#outstanding.values()].some(
       probe => probe.address === address,
     );
@@ -82,7 +82,7 @@
    * @param answerTo - number of the probe that it answers; 0 if none
    * @returns local time at which the probe was sent; null if it is not outstanding
    */
-  onHeard(from: InstanceId, answerTo: number): number | null {
+  onMessage(from: InstanceId, answerTo: number): number | null {
     const probe = this.#outstanding.get(answerTo);
     this.#outstanding.delete(answerTo);
     this.#misses.delete(from);
@@ -101,7 +101,7 @@
    */
   beginRound(): readonly Member[] {
     const nowMs = this.clock();
-    const { periodMs, answerMs } = this.options;
+    const { periodMs, answerTimeoutMs: answerMs } = this.options;
     const stalledMs = Math.max(0, nowMs - this.#lastRoundMs - periodMs);
     this.#lastRoundMs = nowMs;
     const overdue = [...this.#outstanding].filter(([, probe]) => {
--- a/packages/decisions/src/policies/recovery/budgeted-resume.ts
+++ b/packages/decisions/src/policies/recovery/budgeted-resume.ts
@@ -54,9 +54,9 @@
   if (failure.ran === 'no') {
     return true;
   }
-  record.costlyAttempts += 1;
+  record.possiblyRunAttempts += 1;
   return (
-    record.costlyAttempts < options.maxAttempts &&
+    record.possiblyRunAttempts < options.maxAttempts &&
     spendRetryCredit(board, record)
   );
 }
--- a/packages/decisions/src/policies/routing/least-cost.ts
+++ b/packages/decisions/src/policies/routing/least-cost.ts
@@ -63,7 +63,8 @@
     return scaled;
   }
   const reported = view.report.running + view.report.waiting;
-  const corrected = Math.max(0, reported - view.ownAtReport) + view.inFlight;
+  const corrected =
+    Math.max(0, reported - view.ownInFlightAtReport) + view.inFlight;
   return scaled + reportWeight * (corrected - scaled);
 }
 
--- a/packages/decisions/src/util/byHash.ts
+++ b/packages/decisions/src/util/byHash.ts
@@ -7,7 +7,7 @@
 }
 
 /** @returns the id with its hash */
-export function hashed(id: string): HashedId {
+export function toHashedId(id: string): HashedId {
   return { id, hash: murmurhash.v3(id) };
 }
 
@@ -19,11 +19,11 @@
  * @param b - second id with its hash
  * @returns a negative number if the first id comes first; equal hashes are ordered by id
  */
-export function byHashed(a: HashedId, b: HashedId): number {
+export function compareHashed(a: HashedId, b: HashedId): number {
   return a.hash - b.hash || (a.id < b.id ? -1 : 1);
 }
 
-/** Same order as {@link byHashed}, for ids that are compared rarely. */
+/** Same order as {@link compareHashed}, for ids that are compared rarely. */
 export function byHash(a: string, b: string): number {
-  return byHashed(hashed(a), hashed(b));
+  return compareHashed(toHashedId(a), toHashedId(b));
 }
--- a/packages/decisions/tests/duties/HolderLease.test.ts
+++ b/packages/decisions/tests/duties/HolderLease.test.ts
@@ -13,9 +13,9 @@
 const LEASE_MS = 3000;
 const INPUTS: LeaseInputs = {
   rank: () => 0,
-  news: null,
+  latestHolding: null,
   notes: NO_NOTES,
-  givesUp: false,
+  mustRelease: false,
 };
 
 function leaseOf(name: string, clock: ManualClock): HolderLease {
@@ -66,7 +66,7 @@
     holds('takes a new token with the next write when one is requested', t => {
       const clock = manualClock();
       const { lease } = acquiredBy('a', clock);
-      lease.renumber();
+      lease.requestNewToken();
       const step = lease.next(INPUTS);
       t.true(step.kind === 'write' && step.write.holding.token === 2);
     });
@@ -75,14 +75,14 @@
     holds('has no token after it was dropped', t => {
       const clock = manualClock();
       const { lease } = acquiredBy('a', clock);
-      lease.drop();
+      lease.invalidate();
       t.is(lease.token, null);
     });
 
     holds('can be taken over at once after the holder released it', t => {
       const clock = manualClock();
       const { lease } = acquiredBy('a', clock);
-      const step = lease.next({ ...INPUTS, givesUp: true });
+      const step = lease.next({ ...INPUTS, mustRelease: true });
       t.true(step.kind === 'write' && step.write.holding.released);
       if (step.kind === 'write') {
         lease.onWritten(step.write, 2, clock.now());
@@ -134,8 +134,11 @@
       clock.advance(LEASE_MS + 300);
       const dueAt = [0, 1, 2, 5, 60].filter(
         rank =>
-          leaseOf('b', clock).next({ ...INPUTS, rank: () => rank, news })
-            .kind === 'read',
+          leaseOf('b', clock).next({
+            ...INPUTS,
+            rank: () => rank,
+            latestHolding: news,
+          }).kind === 'read',
       );
       t.deepEqual(dueAt, [0]);
     });
--- a/packages/decisions/tests/duties/helpers/exploreLease.ts
+++ b/packages/decisions/tests/duties/helpers/exploreLease.ts
@@ -85,7 +85,12 @@
 }
 
 /** Inputs with which a read is always due, as for an agent that knows of no holding. */
-const INPUTS = { rank: () => 0, news: null, notes: NO_NOTES, givesUp: false };
+const INPUTS = {
+  rank: () => 0,
+  latestHolding: null,
+  notes: NO_NOTES,
+  mustRelease: false,
+};
 
 /** The agent performs the next step of its lease. */
 function step(
@@ -160,7 +165,7 @@
   if (isDone) {
     lease.onWritten(write.write, version, write.sentMs);
   } else {
-    lease.onUnanswered();
+    lease.onOutcomeUnknown();
   }
   return withAgent(after, write.agent, lease);
 }
@@ -176,7 +181,7 @@
     return state;
   }
   const lease = leaseAt(state, write.agent, create);
-  lease.onUnanswered();
+  lease.onOutcomeUnknown();
   const timedOut = { ...write, isAwaited: false };
   return {
     ...withAgent(state, write.agent, lease),
--- a/packages/decisions/tests/duties/scaling/replicaOrders.test.ts
+++ b/packages/decisions/tests/duties/scaling/replicaOrders.test.ts
@@ -12,7 +12,7 @@
   ReplicaOrder,
 } from '../../../src/index.js';
 import {
-  CapacityNeed,
+  CapacityEstimator,
   planReplicas,
   ReplicaOrders,
   stepTowards,
@@ -194,7 +194,7 @@
     const orders = new ReplicaOrders(clock.now);
     const [first] = orders.due(facts());
     if (first) {
-      orders.onNoneLeft(first);
+      orders.onUnavailable(first);
     }
     const domains = orders
       .due(facts())
@@ -263,7 +263,7 @@
   const load = (inFlight: number) => ({ inFlight, slots: 16, most: 120 });
 
   it('increases with the load at once', t => {
-    const need = new CapacityNeed(20, manualClock().now, OPTIONS);
+    const need = new CapacityEstimator(20, manualClock().now, OPTIONS);
     t.is(need.observe(load(0)), 20);
     t.is(need.observe(load(400)), 50);
     t.is(need.observe(load(4000)), 120);
@@ -272,7 +272,7 @@
   // Guards against a second burst that finds the capacity of the first one released.
   it('is held between two bursts and then decays', t => {
     const clock = manualClock();
-    const need = new CapacityNeed(20, clock.now, OPTIONS);
+    const need = new CapacityEstimator(20, clock.now, OPTIONS);
     need.observe(load(400));
     clock.advance(9000);
     t.is(need.observe(load(40)), 50);
--- a/packages/decisions/tests/duties/usage.test.ts
+++ b/packages/decisions/tests/duties/usage.test.ts
@@ -2,7 +2,7 @@
 import type { InstanceId, OrganisationId } from '@jujubecroft/types';
 import { brand } from '@jujubecroft/types';
 
-import type { DutyNotes, ToldUsage } from '../../src/index.js';
+import type { DutyNotes, InstanceUsage } from '../../src/index.js';
 import {
   decideUsage,
   NO_NOTES,
@@ -23,8 +23,8 @@
 function usageReport(
   instance: InstanceId,
   shop: number,
-  overrides: Partial<ToldUsage> = {},
-): ToldUsage {
+  overrides: Partial<InstanceUsage> = {},
+): InstanceUsage {
   return {
     instance,
     incarnation: 1,
@@ -53,11 +53,11 @@
   it('counts a request once, in the window in which it first started', t => {
     const ledger = new UsageLedger(WINDOW_MS);
     const request = { organisation: SHOP };
-    ledger.onBegan(request, WINDOW_END_MS - 1);
-    ledger.onBegan(request, WINDOW_END_MS + 1);
-    ledger.onBegan({ organisation: SHOP }, WINDOW_END_MS);
-    ledger.onBegan({ organisation: FARM }, WINDOW_END_MS);
-    t.deepEqual(ledger.since(WINDOW - 1), [
+    ledger.onStarted(request, WINDOW_END_MS - 1);
+    ledger.onStarted(request, WINDOW_END_MS + 1);
+    ledger.onStarted({ organisation: SHOP }, WINDOW_END_MS);
+    ledger.onStarted({ organisation: FARM }, WINDOW_END_MS);
+    t.deepEqual(ledger.countsAfter(WINDOW - 1), [
       { window: WINDOW, counts: { [SHOP]: 1 } },
       { window: WINDOW + 1, counts: { [SHOP]: 1, [FARM]: 1 } },
     ]);
@@ -65,16 +65,16 @@
 
   it('does not count requests without an organisation', t => {
     const ledger = new UsageLedger(WINDOW_MS);
-    ledger.onBegan({ organisation: null }, WINDOW_END_MS);
-    t.deepEqual(ledger.since(0), []);
+    ledger.onStarted({ organisation: null }, WINDOW_END_MS);
+    t.deepEqual(ledger.countsAfter(0), []);
   });
 
   it('keeps a bounded number of windows', t => {
     const ledger = new UsageLedger(WINDOW_MS);
     Array.from({ length: 40 }, (_, window) => {
-      ledger.onBegan({ organisation: SHOP }, window * WINDOW_MS);
+      ledger.onStarted({ organisation: SHOP }, window * WINDOW_MS);
     });
-    t.is(ledger.since(-1).length, 8);
+    t.is(ledger.countsAfter(-1).length, 8);
   });
 });
 
@@ -82,17 +82,17 @@
   // Guards against counts that change with lost, duplicate or reordered messages.
   it('sums the latest counts of each incarnation of each instance', t => {
     const collector = new UsageCollector();
-    collector.onTold(usageReport(A, 3));
-    collector.onTold(usageReport(A, 7));
-    collector.onTold(usageReport(A, 5));
-    collector.onTold(usageReport(B, 10));
-    collector.onTold(usageReport(B, 4, { incarnation: 2 }));
+    collector.onUsage(usageReport(A, 3));
+    collector.onUsage(usageReport(A, 7));
+    collector.onUsage(usageReport(A, 5));
+    collector.onUsage(usageReport(B, 10));
+    collector.onUsage(usageReport(B, 4, { incarnation: 2 }));
     t.deepEqual(collector.usageOf(WINDOW).counts, { [SHOP]: 21 });
   });
 
   it('discards windows up to the given one', t => {
     const collector = new UsageCollector();
-    collector.onTold(usageReport(A, 3));
+    collector.onUsage(usageReport(A, 3));
     collector.discardThrough(WINDOW);
     t.deepEqual(collector.usageOf(WINDOW).counts, {});
   });
@@ -106,9 +106,9 @@
 
   it('waits for the counts of all live instances', t => {
     const collector = new UsageCollector();
-    collector.onTold(usageReport(A, 3));
+    collector.onUsage(usageReport(A, 3));
     t.is(decide(collector, 2000).decided.length, 0);
-    collector.onTold(usageReport(B, 4));
+    collector.onUsage(usageReport(B, 4));
     t.deepEqual(decide(collector, 2000).decided, [
       { window: WINDOW, counts: { [SHOP]: 7 } },
     ]);
@@ -117,16 +117,16 @@
   // Guards against a window that is never reported because one instance is cut off.
   it('stops waiting for a silent instance before the report is overdue', t => {
     const collector = new UsageCollector();
-    collector.onTold(usageReport(A, 3));
+    collector.onUsage(usageReport(A, 3));
     t.is(decide(collector, REPORT_DUE_MS / 2).decided.length, 1);
   });
 
   // Guards against two different reports for one window.
   it('does not change the usage of a window that is final', t => {
     const collector = new UsageCollector();
-    collector.onTold(usageReport(A, 3));
+    collector.onUsage(usageReport(A, 3));
     const notes = decide(collector, REPORT_DUE_MS / 2);
-    collector.onTold(usageReport(A, 9));
+    collector.onUsage(usageReport(A, 9));
     t.is(decide(collector, REPORT_DUE_MS / 2 + 100, notes), notes);
   });
 
--- a/packages/decisions/tests/gateway/AnswerLengths.test.ts
+++ b/packages/decisions/tests/gateway/AnswerLengths.test.ts
@@ -32,9 +32,9 @@
   it('replaces the default length with the mean of the first answers', t => {
     const lengths = new AnswerLengths();
     lengths.onEnded(CHECK, 5);
-    t.is(lengths.expect(CHECK, null, service), 5);
+    t.is(lengths.predict(CHECK, null, service), 5);
     lengths.onEnded(CHECK, 3);
-    t.is(lengths.expect(CHECK, null, service), 4);
+    t.is(lengths.predict(CHECK, null, service), 4);
   });
 
   it('keeps following the newest answers', t => {
@@ -56,12 +56,16 @@
       { route: brand<RouteId>('other'), pieces: 90, answers: 30 },
     ]);
     t.is(lengths.usual(CHECK), 5);
-    t.deepEqual(lengths.seen(CHECK), { route: CHECK, pieces: 0, answers: 0 });
+    t.deepEqual(lengths.ownLength(CHECK), {
+      route: CHECK,
+      pieces: 0,
+      answers: 0,
+    });
   });
 
   it('caps the prediction at the output limit of the caller', t => {
     const lengths = new AnswerLengths();
-    t.is(lengths.expect(CHECK, prompt(22), service), 5);
-    t.is(lengths.expect(CHECK, prompt(0), service), 40);
+    t.is(lengths.predict(CHECK, prompt(22), service), 5);
+    t.is(lengths.predict(CHECK, prompt(0), service), 40);
   });
 });
--- a/packages/decisions/tests/gateway/ConfigurationHistory.test.ts
+++ b/packages/decisions/tests/gateway/ConfigurationHistory.test.ts
@@ -9,7 +9,7 @@
 
 import {
   ConfigurationHistory,
-  followChanges,
+  applyChangeSequence,
 } from '../../src/gateway/ConfigurationHistory.js';
 import { configuration, manualClock, route } from './helpers/gatewayFixture.js';
 
@@ -78,7 +78,7 @@
             return;
           }
           const json = JSON.stringify(history.since(known.version));
-          const result = followChanges(known, JSON.parse(json) as never);
+          const result = applyChangeSequence(known, JSON.parse(json) as never);
           t.deepEqual(result && sorted(result), sorted(newest));
         },
       ),
@@ -101,7 +101,10 @@
     const history = new ConfigurationHistory(manualClock().now);
     history.record(configuration([]), configuration([], 4));
     t.is(history.since(2), null);
-    t.is(followChanges(configuration([], 2), history.since(1) ?? []), null);
+    t.is(
+      applyChangeSequence(configuration([], 2), history.since(1) ?? []),
+      null,
+    );
   });
 
   it('provides the changes recorded within a period', t => {
@@ -112,7 +115,7 @@
     history.record(configuration([], 2), configuration([], 5));
     clock.advance(300);
     t.deepEqual(
-      history.newest(1000).map(({ version }) => version),
+      history.recentChanges(1000).map(({ version }) => version),
       [5],
     );
   });
--- a/packages/decisions/tests/gateway/GatewayRouter.test.ts
+++ b/packages/decisions/tests/gateway/GatewayRouter.test.ts
@@ -97,7 +97,7 @@
         t.fail('the request was rejected');
         return;
       }
-      const attempt = router.begin(callerRequest, decision.placed, 1);
+      const attempt = router.beginAttempt(callerRequest, decision.placed, 1);
       t.true(router.mayReceive(attempt));
       const { id } = decision.placed.load.replica;
       const leaving = replica(id, { service: PLAIN, leaving: true });
@@ -119,10 +119,10 @@
         t.fail('the request was rejected');
         return;
       }
-      const attempt = router.begin(callerRequest, decision.placed, 1);
-      t.deepEqual(router.findSilent(), []);
+      const attempt = router.beginAttempt(callerRequest, decision.placed, 1);
+      t.deepEqual(router.findAttemptsToMove(), []);
       clock.advance(800);
-      t.deepEqual(router.findSilent(), [attempt]);
+      t.deepEqual(router.findAttemptsToMove(), [attempt]);
       Array.from({ length: 10 }).forEach(() => {
         const next = router.place(request(CALL), new Set());
         t.true(
@@ -137,10 +137,10 @@
       const callerRequest = request(unsafe);
       const decision = router.place(callerRequest, new Set());
       if (decision.kind === 'send') {
-        router.begin(callerRequest, decision.placed, 1);
+        router.beginAttempt(callerRequest, decision.placed, 1);
       }
       clock.advance(1500);
-      t.deepEqual(router.findSilent(), []);
+      t.deepEqual(router.findAttemptsToMove(), []);
     });
 
     case_('keep an attempt that could not be moved to another replica', t => {
@@ -151,10 +151,10 @@
       const callerRequest = request(once);
       const decision = router.place(callerRequest, new Set());
       if (decision.kind === 'send') {
-        router.begin(callerRequest, decision.placed, 1);
+        router.beginAttempt(callerRequest, decision.placed, 1);
       }
       clock.advance(1500);
-      t.deepEqual(router.findSilent(), []);
+      t.deepEqual(router.findAttemptsToMove(), []);
     });
 
     case_('are still used if there is no other replica', t => {
@@ -165,7 +165,7 @@
       const callerRequest = request(CALL);
       const decision = router.place(callerRequest, new Set());
       if (decision.kind === 'send') {
-        router.begin(callerRequest, decision.placed, 1);
+        router.beginAttempt(callerRequest, decision.placed, 1);
       }
       clock.advance(1500);
       t.is(router.place(request(CALL), new Set()).kind, 'send');
@@ -187,7 +187,7 @@
         if (decision.kind !== 'send') {
           throw new Error('the request was rejected');
         }
-        const attempt = router.begin(callerRequest, decision.placed, 1);
+        const attempt = router.beginAttempt(callerRequest, decision.placed, 1);
         if (index >= lost) {
           clock.advance(20);
           router.onBytes(attempt);
@@ -249,9 +249,9 @@
 
   it("detects a caller's retry by the time that it has left", t => {
     const { router } = gatewayFixture([CALL], REPLICAS);
-    t.false(router.cameBack(CALL, 4000));
-    t.false(router.cameBack(CALL, 3990));
-    t.true(router.cameBack(CALL, 2900));
+    t.false(router.isCallerRetry(CALL, 4000));
+    t.false(router.isCallerRetry(CALL, 3990));
+    t.true(router.isCallerRetry(CALL, 2900));
   });
 
   it('never sends a request to the same replica twice', t => {
--- a/packages/decisions/tests/gateway/PeerLoadTracker.test.ts
+++ b/packages/decisions/tests/gateway/PeerLoadTracker.test.ts
@@ -32,7 +32,7 @@
     );
     router.onInstances(fleet);
     fleet.slice(0, 12).forEach(peer => {
-      router.onPeerWork(peer, {
+      router.onPeerUpdate(peer, {
         uses: [
           {
             id: brand<BackendServerId>('p-1'),
@@ -59,7 +59,7 @@
     const { router, board } = gatewayFixture([CALL], PLAINS);
     const id = brand<BackendServerId>('p-1');
     const relay = (total: number, ageMs: number): void => {
-      router.onPeerWork(brand<InstanceId>('e-1'), {
+      router.onPeerUpdate(brand<InstanceId>('e-1'), {
         uses: [],
         demands: [],
         lengths: [],
@@ -69,7 +69,7 @@
     relay(9, 200);
     relay(2, 700);
     t.is(board.backends.get(id)?.totalInFlight, 9);
-    t.deepEqual(router.heardReports, [
+    t.deepEqual(router.loadReports, [
       { id, bornMs: null, total: 9, ageMs: 200 },
     ]);
     relay(4, 100);
--- a/packages/decisions/tests/gateway/ReplicaRegistry.test.ts
+++ b/packages/decisions/tests/gateway/ReplicaRegistry.test.ts
@@ -61,10 +61,14 @@
     source.applyRows([row('a', 3, true), row('c', 4), row('d', 5)], 5, 0);
     const newest = source.newestChanges(2);
     t.is(newest.from, 3);
-    t.false(behind.connects(newest));
-    t.true(behind.connects(source.newestChanges(3)));
-    t.true(behind.connects(source.changesWithin(behind.version, 3)));
-    t.false(behind.connects(source.changesWithin(behind.version, 2)));
+    t.false(behind.followsWithoutGap(newest));
+    t.true(behind.followsWithoutGap(source.newestChanges(3)));
+    t.true(
+      behind.followsWithoutGap(source.limitedChangesSince(behind.version, 3)),
+    );
+    t.false(
+      behind.followsWithoutGap(source.limitedChangesSince(behind.version, 2)),
+    );
   });
 
   group('after an outage of the store', ({ it: case_ }) => {
@@ -75,7 +79,7 @@
       const clock = manualClock();
       const registry = new ReplicaRegistry(storeClockOn(clock));
       registry.applySnapshot([row('a', 1), row('b', 2)], 2, 0);
-      registry.expectLapses(2500);
+      registry.beginLapseGracePeriod(2500);
       const changes = registry.applyRows(
         [removed('a', 9), removed('b', 10)],
         10,
@@ -100,7 +104,7 @@
       t => {
         const registry = new ReplicaRegistry(storeClockOn(manualClock()));
         registry.applySnapshot([row('a', 1, true)], 1, 0);
-        registry.expectLapses(2500);
+        registry.beginLapseGracePeriod(2500);
         registry.applyRows([removed('a', 9)], 9, 0);
         t.deepEqual(idsOf(registry), []);
       },
@@ -219,7 +223,7 @@
               return source.newestChanges(2);
             }
             return told === 'few'
-              ? source.changesWithin(since, 2)
+              ? source.limitedChangesSince(since, 2)
               : source.changesSince(since);
           };
           steps.forEach(({ from, to, reads, repeat, told }, index) => {
@@ -236,7 +240,7 @@
               target.applyRows(fresh, Math.max(target.version, upTo), 0);
             } else if (source.version > target.version) {
               const changes = changesOf(source, told, target.version);
-              if (!target.connects(changes)) {
+              if (!target.followsWithoutGap(changes)) {
                 return;
               }
               target.merge(changes);
--- a/packages/decisions/tests/gateway/admission/first-event-target.test.ts
+++ b/packages/decisions/tests/gateway/admission/first-event-target.test.ts
@@ -20,7 +20,7 @@
     const asked = request(LONG, prompt(12_000));
     const decision = router.place(asked, new Set());
     if (decision.kind === 'send') {
-      router.begin(asked, decision.placed, 1);
+      router.beginAttempt(asked, decision.placed, 1);
     }
     return decision.kind === 'send';
   };
@@ -62,7 +62,7 @@
     const urgent = router.place(request(URGENT, prompt(900)), new Set());
     t.is(urgent.kind, 'send');
     const returned = router.place(
-      request(LONG, prompt(900), { cameBack: true }),
+      request(LONG, prompt(900), { isCallerRetry: true }),
       new Set(),
     );
     t.is(returned.kind, 'send');
@@ -87,7 +87,7 @@
       t.fail('the first request was refused');
       return;
     }
-    const attempt = router.begin(asked, first.placed, 1);
+    const attempt = router.beginAttempt(asked, first.placed, 1);
     // Answers of both routes have five events, and each event takes 440 ms.
     [CHECK, INVOICE].forEach(({ id }) => {
       Array.from({ length: 300 }).forEach(() => {
@@ -116,7 +116,7 @@
       t.fail('the first request was refused');
       return;
     }
-    const attempt = router.begin(asked, first.placed, 1);
+    const attempt = router.beginAttempt(asked, first.placed, 1);
     Array.from({ length: 200 }).forEach(() => {
       clock.advance(300);
       router.onBytes(attempt);
--- a/packages/decisions/tests/gateway/crashes/CrashLedger.test.ts
+++ b/packages/decisions/tests/gateway/crashes/CrashLedger.test.ts
@@ -164,7 +164,7 @@
     it('at once of a second loss, but not of a report that it already received', t => {
       const [here, there] = [fixture(), fixture()];
       let announcements = 0;
-      there.ledger.onNews(() => {
+      there.ledger.onChange(() => {
         announcements += 1;
       });
       here.lose(CONTENT, 'a');
--- a/packages/decisions/tests/gateway/crashes/suspectRequests.test.ts
+++ b/packages/decisions/tests/gateway/crashes/suspectRequests.test.ts
@@ -62,7 +62,7 @@
     const request = next();
     const decision = router.place(request, new Set());
     return decision.kind === 'send'
-      ? router.begin(request, decision.placed, 1)
+      ? router.beginAttempt(request, decision.placed, 1)
       : decision.code;
   };
   return {
@@ -118,7 +118,7 @@
       const other = request(STREAM);
       const placed = router.place(other, new Set());
       if (load && placed.kind === 'send') {
-        router.begin(other, { ...placed.placed, load }, 1);
+        router.beginAttempt(other, { ...placed.placed, load }, 1);
       }
     });
     const attempt = send();
@@ -137,7 +137,7 @@
     const { crash, send, router } = suspectFixture();
     const early = send();
     [1, 2, 3].forEach(crash);
-    t.deepEqual(router.findBarred(), [early]);
+    t.deepEqual(router.findBarredAttempts(), [early]);
     t.false(typeof early !== 'string' && router.mayReceive(early));
   });
 });
--- a/packages/decisions/tests/gateway/helpers/gatewayFixture.ts
+++ b/packages/decisions/tests/gateway/helpers/gatewayFixture.ts
@@ -175,7 +175,7 @@
               },
         arrivedMs: clock.now(),
         deadlineMs: clock.now() + of.timeoutMs,
-        cameBack: false,
+        isCallerRetry: false,
         fingerprint: () => brand<RequestFingerprint>(`f-${count}`),
         ...overrides,
       };
--- a/packages/decisions/tests/gateway/limits/ReplicaLimits.test.ts
+++ b/packages/decisions/tests/gateway/limits/ReplicaLimits.test.ts
@@ -3,7 +3,7 @@
 import { describe } from '@jujubecroft/testing';
 
 import type { BackendLoad, GatewayAttempt } from '../../../src/index.js';
-import { limitNews, takeLimits } from '../../../src/index.js';
+import { createLimitReports, applyLimitReports } from '../../../src/index.js';
 import type { GatewayFixture } from '../helpers/gatewayFixture.js';
 import { gatewayFixture, replica, route } from '../helpers/gatewayFixture.js';
 
@@ -39,7 +39,7 @@
       const next = request(STREAM);
       const decision = router.place(next, new Set());
       return decision.kind === 'send'
-        ? router.begin(next, decision.placed, 1)
+        ? router.beginAttempt(next, decision.placed, 1)
         : decision.code;
     },
   };
@@ -147,17 +147,17 @@
     it('and applies a limit and its end, but no limit of another run', t => {
       const [here, there] = [limited(), limited()];
       here.name(4);
-      takeLimits(there.board, limitNews(here.board));
+      applyLimitReports(there.board, createLimitReports(here.board));
       t.is(there.load.limitPerS, 4);
       here.clock.advance(2000);
       there.clock.advance(2000);
       here.name(null);
-      takeLimits(there.board, limitNews(here.board));
+      applyLimitReports(there.board, createLimitReports(here.board));
       t.is(there.load.limitPerS, null);
       here.name(4);
-      const [report] = limitNews(here.board);
+      const [report] = createLimitReports(here.board);
       if (report) {
-        takeLimits(there.board, [{ ...report, bornMs: 2 }]);
+        applyLimitReports(there.board, [{ ...report, bornMs: 2 }]);
       }
       t.is(there.load.limitPerS, null);
     });
@@ -166,21 +166,21 @@
       const { board, load, name } = limited();
       name(4);
       const { id, bornMs } = load.replica;
-      takeLimits(board, [{ id, bornMs, perS: null, ageMs: 100 }]);
+      applyLimitReports(board, [{ id, bornMs, perS: null, ageMs: 100 }]);
       t.is(load.limitPerS, 4);
     });
 
     it('and announces changes at once, the rest over time', t => {
       const { board, name, clock } = limited();
       let announcements = 0;
-      board.limits.onNews(() => {
+      board.limits.onChange(() => {
         announcements += 1;
       });
       [null, 4, 4, 5, null].forEach(name);
       t.is(announcements, 3);
       clock.advance(10_000);
-      t.is(limitNews(board).length, 1);
-      t.deepEqual(limitNews(limited().board), []);
+      t.is(createLimitReports(board).length, 1);
+      t.deepEqual(createLimitReports(limited().board), []);
     });
   });
 });
--- a/packages/decisions/tests/gateway/placement/cacheFetch.test.ts
+++ b/packages/decisions/tests/gateway/placement/cacheFetch.test.ts
@@ -50,7 +50,7 @@
     const asked = request(DRAFT, [SHARED, own]);
     const decision = router.place(asked, new Set());
     return decision.kind === 'send'
-      ? router.begin(asked, decision.placed, 1)
+      ? router.beginAttempt(asked, decision.placed, 1)
       : null;
   }).flatMap(attempt => attempt ?? []);
   const [first] = attempts;
--- a/packages/decisions/tests/gateway/placement/tolerance-split.test.ts
+++ b/packages/decisions/tests/gateway/placement/tolerance-split.test.ts
@@ -35,7 +35,7 @@
   const asked = request(of, prompt);
   const decision = router.place(asked, new Set());
   return decision.kind === 'send'
-    ? router.begin(asked, decision.placed, 1)
+    ? router.beginAttempt(asked, decision.placed, 1)
     : null;
 }
 
--- a/packages/decisions/tests/gateway/excusedMs.test.ts
+++ b/packages/decisions/tests/gateway/promptSizeAllowanceMs.test.ts
@@ -1,6 +1,6 @@
 import { describe } from '@jujubecroft/testing';
 
-import { excusedMs } from '../../src/gateway/excusedMs.js';
+import { promptSizeAllowanceMs } from '../../src/gateway/promptSizeAllowanceMs.js';
 import type { PlacedCandidate } from '../../src/index.js';
 import { gatewayFixture, replica, route } from './helpers/gatewayFixture.js';
 
@@ -18,7 +18,7 @@
   };
   let next = place(10_000);
   while (next.decision.kind === 'send') {
-    router.begin(next.callerRequest, next.decision.placed, 1);
+    router.beginAttempt(next.callerRequest, next.decision.placed, 1);
     next = place(10_000);
   }
   return { ...fixture, place };
@@ -31,7 +31,7 @@
     const best = (unreadTokens: number): PlacedCandidate =>
       ({ unreadTokens, ownReadMs: unreadTokens / 50 }) as PlacedCandidate;
     const excused = (tokens: number): number =>
-      excusedMs(board, request(LONG), best(tokens));
+      promptSizeAllowanceMs(board, request(LONG), best(tokens));
     t.is(excused(20_000), 300);
     t.is(excused(5000), 0);
     t.is(excused(800), 0);
--- a/packages/decisions/tests/gateway/readDuty.test.ts
+++ b/packages/decisions/tests/gateway/readDuty.test.ts
@@ -4,9 +4,9 @@
 
 import {
   isReader,
-  isReaderDue,
+  shouldQueryReader,
   rankOf,
-  readAtAgeMs,
+  storeReadAgeMs,
   readersOf,
 } from '../../src/gateway/readDuty.js';
 
@@ -19,9 +19,9 @@
   rank: number,
   ageMs: number,
   boundMs: number,
-): boolean => !isReader(rank) && isReaderDue(ageMs, boundMs);
+): boolean => !isReader(rank) && shouldQueryReader(ageMs, boundMs);
 const shouldRead = (rank: number, ageMs: number, boundMs: number): boolean =>
-  ageMs >= readAtAgeMs(rank, boundMs);
+  ageMs >= storeReadAgeMs(rank, boundMs);
 
 describe('readDuty', ({ it }) => {
   // Guards against superfluous reads of the store. In a fleet of two hundred,
@@ -33,7 +33,7 @@
     t.deepEqual(readersOf([...FLEET].reverse()), readers);
     FLEET.forEach(id => {
       const rank = rankOf(id, FLEET);
-      t.is(readers.includes(id), readAtAgeMs(rank, BOUND_MS) === 0);
+      t.is(readers.includes(id), storeReadAgeMs(rank, BOUND_MS) === 0);
       const askAtMs = 0.31 * BOUND_MS;
       t.is(shouldAskReader(rank, askAtMs, BOUND_MS), !readers.includes(id));
       t.false(!readers.includes(id) && shouldRead(rank, askAtMs, BOUND_MS));
--- a/packages/decisions/tests/gateway/recovery/RetryGain.test.ts
+++ b/packages/decisions/tests/gateway/recovery/RetryGain.test.ts
@@ -15,7 +15,7 @@
       gain.onRetried(id, false);
     });
     const allowed = Array.from({ length: 16 }).filter(() =>
-      gain.isWorthIt(id),
+      gain.shouldRetry(id),
     ).length;
     t.is(allowed, 2);
   });
@@ -28,6 +28,6 @@
     Array.from({ length: 6 }).forEach(() => {
       gain.onRetried(id, true);
     });
-    t.true(gain.isWorthIt(id));
+    t.true(gain.shouldRetry(id));
   });
 });
--- a/packages/decisions/tests/gateway/recovery/decideRecovery.test.ts
+++ b/packages/decisions/tests/gateway/recovery/decideRecovery.test.ts
@@ -18,7 +18,7 @@
   timeLeftMs: 1000,
   retryHelps: () => true,
   isSuspect: () => false,
-  takeRepeat: () => true,
+  takeRetry: () => true,
   ...overrides,
 });
 
@@ -84,7 +84,7 @@
       [
         'safe, lost, no budget left',
         LOST,
-        { takeRepeat: () => false },
+        { takeRetry: () => false },
         'backendMaybeRan',
       ],
       ['safe, out of time', TIMEOUT, {}, 'backendTimeout'],
@@ -102,9 +102,12 @@
         t.fail('a retry was taken from the budget');
         return true;
       };
-      decideRecovery(FAILED, facts({ sent: 2, takeRepeat }));
-      decideRecovery(LOST, facts({ route: UNSAFE, takeRepeat }));
-      decideRecovery(UNSENT, facts({ sent: 0, unsent: 1, takeRepeat }));
+      decideRecovery(FAILED, facts({ sent: 2, takeRetry: takeRepeat }));
+      decideRecovery(LOST, facts({ route: UNSAFE, takeRetry: takeRepeat }));
+      decideRecovery(
+        UNSENT,
+        facts({ sent: 0, unsent: 1, takeRetry: takeRepeat }),
+      );
       t.pass();
     });
   });
--- a/packages/decisions/tests/gateway/replicaRestart.test.ts
+++ b/packages/decisions/tests/gateway/replicaRestart.test.ts
@@ -3,7 +3,7 @@
 import { brand } from '@jujubecroft/types';
 
 import type { BackendLoad, GatewayAttempt } from '../../src/index.js';
-import { pathsOf } from '../../src/gateway/PromptMemory.js';
+import { prefixPathsOf } from '../../src/gateway/PromptCacheEstimate.js';
 import type { GatewayFixture } from './helpers/gatewayFixture.js';
 import { gatewayFixture, replica, route } from './helpers/gatewayFixture.js';
 
@@ -35,7 +35,7 @@
     if (decision.kind !== 'send') {
       throw new Error('the request was refused');
     }
-    return router.begin(request(STREAM, PARTS), decision.placed, 1);
+    return router.beginAttempt(request(STREAM, PARTS), decision.placed, 1);
   };
 
   // An engine may crash and be back within a second under the same id. Its
@@ -50,10 +50,10 @@
       fixture.router.onEnded(attempt, { kind: 'lost', reason });
     });
     const load = loadOf(fixture);
-    t.is(load.memory.cachedTokens(PARTS, pathsOf(PARTS)), 0);
+    t.is(load.cacheEstimate.cachedTokens(PARTS, prefixPathsOf(PARTS)), 0);
     t.is(load.totalInFlight, 0);
     t.is(load.health.verdict, 'good');
-    t.is(load.slownessFor(0), 1);
+    t.is(load.latencyRatioFor(0), 1);
   });
 
   // A crash may leave the connections of the previous run open. Its requests
@@ -61,10 +61,10 @@
   it('returns the attempts on the previous run exactly once', t => {
     const fixture = gatewayFixture([STREAM], [first]);
     const attempt = send(fixture);
-    t.deepEqual(fixture.router.takeOrphans(), []);
+    t.deepEqual(fixture.router.takeOrphanedAttempts(), []);
     restart(fixture);
-    t.deepEqual(fixture.router.takeOrphans(), [attempt]);
-    t.deepEqual(fixture.router.takeOrphans(), []);
+    t.deepEqual(fixture.router.takeOrphanedAttempts(), [attempt]);
+    t.deepEqual(fixture.router.takeOrphanedAttempts(), []);
   });
 
   // A peer that does not know of the restart reports the load of the previous
@@ -73,13 +73,13 @@
     const fixture = gatewayFixture([STREAM], [first]);
     restart(fixture);
     const previousRun = { id: first.id, bornMs: 10 };
-    fixture.router.onPeerWork(brand<InstanceId>('e-1'), {
+    fixture.router.onPeerUpdate(brand<InstanceId>('e-1'), {
       uses: [{ ...previousRun, inFlight: 30, unreadByRank: [0, 90_000, 9] }],
       demands: [],
       lengths: [],
       reports: [{ ...previousRun, total: 70, ageMs: 10 }],
     });
     t.is(loadOf(fixture).totalInFlight, 0);
-    t.is(loadOf(fixture).unreadAhead(9), 0);
+    t.is(loadOf(fixture).unreadTokensAhead(9), 0);
   });
 });
--- a/packages/decisions/tests/gateway/urgency.test.ts
+++ b/packages/decisions/tests/gateway/urgency.test.ts
@@ -62,7 +62,7 @@
   });
   const decision = router.place(callerRequest, new Set());
   return decision.kind === 'send'
-    ? router.begin(callerRequest, decision.placed, 1)
+    ? router.beginAttempt(callerRequest, decision.placed, 1)
     : null;
 }
 
@@ -126,8 +126,8 @@
     Array.from({ length: 20 }).forEach(() => {
       load?.onDuration(1, 4000, 1000);
     });
-    t.is(load?.slownessFor(0), 1);
-    t.true((load?.slownessFor(1) ?? 0) > 3);
+    t.is(load?.latencyRatioFor(0), 1);
+    t.true((load?.latencyRatioFor(1) ?? 0) > 3);
   });
 });
 
--- a/packages/decisions/tests/helpers/RouterFixture.ts
+++ b/packages/decisions/tests/helpers/RouterFixture.ts
@@ -126,7 +126,7 @@
           refuse: ({ request }, refusal) => {
             this.refused.push({ id: request.id, refusal });
           },
-          isWatched: () => true,
+          needsCandidates: () => true,
           explain: event => {
             this.decisions.push(event);
           },
--- a/packages/decisions/tests/membership/Membership.test.ts
+++ b/packages/decisions/tests/membership/Membership.test.ts
@@ -79,7 +79,7 @@
     }
     const target = brand<InstanceId>(to);
     const isReachable = sender
-      .helpers(target, 2)
+      .indirectProbers(target, 2)
       .some(({ id }) => this.reaches(from, id) && this.reaches(id, to));
     if (!isReachable) {
       sender.onUnreachable(target);
--- a/packages/decisions/tests/membership/PeerProbes.test.ts
+++ b/packages/decisions/tests/membership/PeerProbes.test.ts
@@ -6,7 +6,11 @@
 
 const PERIOD_MS = 250;
 const STEP_MS = 10;
-const OPTIONS = { periodMs: PERIOD_MS, answerMs: 400, missesToSuspect: 3 };
+const OPTIONS = {
+  periodMs: PERIOD_MS,
+  answerTimeoutMs: 400,
+  missesToSuspect: 3,
+};
 const STATE = { revision: 1, inFlight: 0 };
 
 const identityOf = (name: string) => ({
@@ -72,7 +76,7 @@
           ...DEFAULT_MEMBERSHIP,
           fanout: members => (members <= 12 ? 3 : 1),
           periodMs: PERIOD_MS,
-          suspectMs: members => 400 * Math.log2(Math.max(8, members)),
+          suspicionTimeoutMs: members => 400 * Math.log2(Math.max(8, members)),
         },
       );
       membership.onList(
@@ -173,7 +177,7 @@
     datagram: Datagram,
   ): void {
     const { from, question, answerTo, heartbeat } = datagram;
-    probes.onHeard(brand<InstanceId>(from), answerTo);
+    probes.onMessage(brand<InstanceId>(from), answerTo);
     if (question !== 0) {
       this.#send(name, from, 0, question);
     }
--- a/packages/gateway/src/backends/JsonClient.ts
+++ b/packages/gateway/src/backends/JsonClient.ts
@@ -1,5 +1,5 @@
 import { KeepAliveAgent } from './KeepAliveAgent.js';
-import { requestWhole } from './requestWhole.js';
+import { sendHttpRequest } from './sendHttpRequest.js';
 
 /** Connection limit and timeouts for the calls to one server. */
 export interface JsonClientOptions {
@@ -62,7 +62,7 @@
     headers = {},
     waitMs = 0,
   }: JsonCall): Promise<JsonReply> {
-    const { status, body } = await requestWhole({
+    const { status, body } = await sendHttpRequest({
       address: this.address,
       agent: this.#agent,
       method: content === undefined ? 'GET' : 'POST',
--- a/packages/gateway/src/backends/requestWhole.ts
+++ b/packages/gateway/src/backends/sendHttpRequest.ts
@@ -85,7 +85,7 @@
  * @returns status and body
  * @throws Error if no complete response arrives in time
  */
-export function requestWhole(call: HttpCall): Promise<HttpReply> {
+export function sendHttpRequest(call: HttpCall): Promise<HttpReply> {
   return withTimeout(call.timeoutMs, async signal => {
     const res = await new Promise<IncomingMessage>((resolve, reject) => {
       const req = request(toRequestOptions(call, signal));
--- a/packages/gateway/src/createContext.ts
+++ b/packages/gateway/src/createContext.ts
@@ -73,7 +73,7 @@
       ...DEFAULT_MEMBERSHIP,
       fanout: peerFanout,
       periodMs: PEER_PERIOD_MS,
-      suspectMs: refutationMs,
+      suspicionTimeoutMs: refutationMs,
       incarnation: startedMs,
     },
   );
--- a/packages/gateway/src/duties/DutyCalls.ts
+++ b/packages/gateway/src/duties/DutyCalls.ts
@@ -1,6 +1,6 @@
 import type { GatewayContext } from '../GatewayContext.js';
-import type { DutyAnswer, DutyCaller } from '../ports/DutyPorts.js';
-import type { HoldingKeeper } from './HoldingKeeper.js';
+import type { DutyCallResult, DutyCaller } from '../ports/DutyPorts.js';
+import type { DutyLeaseKeeper } from './DutyLeaseKeeper.js';
 
 /** Delay after a call that failed or was answered with `busy`, in milliseconds. */
 const RETRY_DELAY_MS = 500;
@@ -28,7 +28,7 @@
 
   constructor(
     private readonly context: GatewayContext,
-    private readonly keeper: HoldingKeeper,
+    private readonly keeper: DutyLeaseKeeper,
   ) {}
 
   /**
@@ -48,8 +48,8 @@
    */
   async run(
     kind: DutyKind,
-    call: (caller: DutyCaller) => Promise<DutyAnswer>,
-  ): Promise<DutyAnswer | null> {
+    call: (caller: DutyCaller) => Promise<DutyCallResult>,
+  ): Promise<DutyCallResult | null> {
     const { clock, settings, metrics } = this.context;
     const { token } = this.keeper;
     if (token === null || clock() < (this.#pausedUntilMs.get(kind) ?? 0)) {
--- a/packages/gateway/src/duties/HoldingKeeper.ts
+++ b/packages/gateway/src/duties/DutyLeaseKeeper.ts
@@ -1,15 +1,15 @@
 import type { DutyBoard, DutyNotes, HolderId } from '@jujubecroft/decisions';
 import {
   HolderLease,
-  newsOf,
-  noteHolding,
+  toHoldingNews,
+  recordHolding,
   rankOf,
 } from '@jujubecroft/decisions';
 import { brand } from '@jujubecroft/types';
 
 import type { GatewayContext } from '../GatewayContext.js';
 import type { HoldingStore } from '../ports/DutyPorts.js';
-import { createWakeUpWatch } from '../wakeUpWatch.js';
+import { createSuspensionDetector } from '../wakeUpWatch.js';
 
 /** Value of the `call` label under which the calls are counted in the metrics. */
 const STORE_CALL_LABEL = 'holding';
@@ -41,7 +41,7 @@
  *
  * `HolderLease` decides on each step; this class carries it out.
  */
-export class HoldingKeeper {
+export class DutyLeaseKeeper {
   readonly #lease: HolderLease;
   readonly #suspendedMs: () => number;
   #isRunning = false;
@@ -63,7 +63,10 @@
       clock,
       storeClock: router.board.storeClock,
     });
-    this.#suspendedMs = createWakeUpWatch(clock, duties.fleetClock.timeOfDay);
+    this.#suspendedMs = createSuspensionDetector(
+      clock,
+      duties.fleetClock.timeOfDay,
+    );
   }
 
   /** Fencing token for calls; null if this instance doesn't hold the duties. */
@@ -78,24 +81,24 @@
 
   /** Notes for the next holder that are known to be in the store. */
   get confirmed(): DutyNotes {
-    return this.#lease.confirmed;
+    return this.#lease.confirmedNotes;
   }
 
   /** Stops acting as the holder until the row has been read again. */
   drop(): void {
-    this.#lease.drop();
+    this.#lease.invalidate();
   }
 
   /** Reads the row in the next step, to check whether the duties are still held. */
   verify(): void {
-    this.#lease.onUnanswered();
+    this.#lease.onOutcomeUnknown();
   }
 
   /**
    * Takes a new token, so that the platform rejects an earlier call that arrives late.
    */
   renumber(): void {
-    this.#lease.renumber();
+    this.#lease.requestNewToken();
   }
 
   /**
@@ -119,7 +122,7 @@
         steps += 1;
       }
     } catch (err) {
-      this.#lease.onUnanswered();
+      this.#lease.onOutcomeUnknown();
       this.#pausedUntilMs = clock() + this.#retryDelayMs;
       this.#logFailure(err);
     } finally {
@@ -152,9 +155,9 @@
     const { token } = this;
     const step = this.#lease.next({
       rank: () => this.#rank,
-      news: duties.news,
+      latestHolding: duties.latestHolding,
       notes: token === null ? this.confirmed : notes,
-      givesUp,
+      mustRelease: givesUp,
     });
     if (step.kind === 'idle') {
       return false;
@@ -171,7 +174,7 @@
     const written = await this.store.write(step.write);
     metrics.storeCalls.inc({ call: STORE_CALL_LABEL, result: 'ok' });
     if (written.kind === 'refused') {
-      this.#lease.onUnanswered();
+      this.#lease.onOutcomeUnknown();
       return true;
     }
     this.#updateStoreClock(written.storeMs, askedMs);
@@ -187,11 +190,11 @@
 
   /** Records the holding for the messages to peers. */
   #publishHolding(): void {
-    const holding = this.#lease.known;
+    const holding = this.#lease.knownHolding;
     if (!holding) {
       return;
     }
-    if (noteHolding(this.duties, newsOf(holding))) {
+    if (recordHolding(this.duties, toHoldingNews(holding))) {
       this.listener.onHoldingChanged();
     }
   }
@@ -211,7 +214,7 @@
       this.listener.onAcquired(this.confirmed);
       return;
     }
-    const { instance, token: newest } = this.duties.news ?? {};
+    const { instance, token: newest } = this.duties.latestHolding ?? {};
     log.write('dutiesLost', { holder: instance, token: newest });
   }
 
--- a/packages/gateway/src/duties/DutyLoop.ts
+++ b/packages/gateway/src/duties/DutyLoop.ts
@@ -6,7 +6,7 @@
 import type { CancelTimer } from '../ports/Timers.js';
 import type { PeerLoop } from '../state/PeerLoop.js';
 import { DutyCalls } from './DutyCalls.js';
-import { HoldingKeeper } from './HoldingKeeper.js';
+import { DutyLeaseKeeper } from './DutyLeaseKeeper.js';
 import { ReplicaOrdering } from './ReplicaOrdering.js';
 import { UsageReporting } from './UsageReporting.js';
 import { UsageForwarding } from './UsageForwarding.js';
@@ -21,7 +21,7 @@
  * usage counts to the holder. Usage reports and replica orders run only at the holder.
  */
 export class DutyLoop {
-  readonly #keeper: HoldingKeeper;
+  readonly #keeper: DutyLeaseKeeper;
   readonly #calls: DutyCalls;
   readonly #forwarding: UsageForwarding;
   readonly #reporting: UsageReporting;
@@ -36,7 +36,7 @@
     peers: Pick<PeerLoop, 'spread' | 'sendUsage'>,
   ) {
     const { platform, holding } = ports;
-    this.#keeper = new HoldingKeeper(context, duties, holding, {
+    this.#keeper = new DutyLeaseKeeper(context, duties, holding, {
       onAcquired: notes => {
         this.#notes = notes;
         this.#reporting.onAcquired();
--- a/packages/gateway/src/duties/ReplicaOrdering.ts
+++ b/packages/gateway/src/duties/ReplicaOrdering.ts
@@ -4,11 +4,11 @@
   ServiceNeed,
 } from '@jujubecroft/decisions';
 import {
-  CapacityNeed,
-  growthOf,
+  CapacityEstimator,
+  addedReplicas,
   replicaCensus,
   ReplicaOrders,
-  lastingInAll,
+  totalLasting,
 } from '@jujubecroft/decisions';
 import type {
   FailureDomainId,
@@ -20,7 +20,7 @@
 import type { GatewayContext } from '../GatewayContext.js';
 import type { DutyPlatform } from '../ports/DutyPorts.js';
 import type { DutyCalls } from './DutyCalls.js';
-import type { HoldingKeeper } from './HoldingKeeper.js';
+import type { DutyLeaseKeeper } from './DutyLeaseKeeper.js';
 
 /** Interval between evaluations of the load, in milliseconds. */
 const CHECK_INTERVAL_MS = 300;
@@ -43,7 +43,7 @@
 }
 
 interface NeedEstimate {
-  readonly need: CapacityNeed;
+  readonly need: CapacityEstimator;
   /** False while replicas that start with the fleet are still appearing. */
   readonly isSettled: boolean;
 }
@@ -51,7 +51,7 @@
 /** Orders and gives back replicas while this instance holds the duties. */
 export class ReplicaOrdering {
   readonly #orders: ReplicaOrders;
-  readonly #needs = new Map<ServiceId, CapacityNeed>();
+  readonly #needs = new Map<ServiceId, CapacityEstimator>();
   /** Replicas of services whose need isn't known yet. */
   readonly #initialCounts = new Map<ServiceId, InitialCount>();
   #isRunning = false;
@@ -62,7 +62,7 @@
     private readonly context: GatewayContext,
     private readonly platform: DutyPlatform,
     private readonly calls: DutyCalls,
-    private readonly keeper: HoldingKeeper,
+    private readonly keeper: DutyLeaseKeeper,
   ) {
     this.#orders = new ReplicaOrders(context.clock);
   }
@@ -86,7 +86,7 @@
     this.#orders.takeOver(orders);
     this.#needs.clear();
     needs.forEach(({ service, replicas }) => {
-      this.#needs.set(service, new CapacityNeed(replicas, clock));
+      this.#needs.set(service, new CapacityEstimator(replicas, clock));
     });
     this.#loadKnownMs = clock() + LOAD_DISCOVERY_MS;
   }
@@ -139,7 +139,7 @@
     const inFlight = loads.reduce((sum, load) => sum + load.totalInFlight, 0);
     const slots = engine?.slots ?? loads[0]?.replica.slots ?? 1;
     const most = scaling.maxReplicas * census.size;
-    const { need, isSettled } = this.#needOf(id, lastingInAll(census));
+    const { need, isSettled } = this.#needOf(id, totalLasting(census));
     const replicas = need.observe({ inFlight, slots, most });
     const due = this.#orders
       .due({
@@ -149,7 +149,7 @@
         need: replicas,
         isIdle: inFlight === 0,
       })
-      .filter(order => isSettled || growthOf(order, census) > 0);
+      .filter(order => isSettled || addedReplicas(order, census) > 0);
     if (due.length > 0) {
       this.context.log.write('ordersDue', {
         service: id,
@@ -175,7 +175,7 @@
       return { need: known, isSettled: true };
     }
     const { clock } = this.context;
-    const need = new CapacityNeed(lasting, clock);
+    const need = new CapacityEstimator(lasting, clock);
     const first = this.#initialCounts.get(service);
     if (first?.lasting !== lasting) {
       this.#initialCounts.set(service, { lasting, sinceMs: clock() });
@@ -207,7 +207,7 @@
     const { log } = this.context;
     log.write('replicasOrdered', { ...order, answer });
     if (answer === 'refused') {
-      this.#orders.onNoneLeft(order);
+      this.#orders.onUnavailable(order);
       // A stale token is refused the same way; reading the row shows which it was.
       this.keeper.verify();
     } else {
--- a/packages/gateway/src/duties/UsageForwarding.ts
+++ b/packages/gateway/src/duties/UsageForwarding.ts
@@ -1,5 +1,5 @@
 import type { DutyBoard } from '@jujubecroft/decisions';
-import { deputyOf, readersOf } from '@jujubecroft/decisions';
+import { standbyOf, readersOf } from '@jujubecroft/decisions';
 import type { InstanceId } from '@jujubecroft/types';
 
 import type { GatewayContext } from '../GatewayContext.js';
@@ -43,8 +43,8 @@
   step(): void {
     const { membership, clock } = this.context;
     const { duties } = this;
-    const holder = duties.news?.instance;
-    const deputy = deputyOf(duties, readersOf(membership.instances));
+    const holder = duties.latestHolding?.instance;
+    const deputy = standbyOf(duties, readersOf(membership.instances));
     const nowMs = clock();
     [holder, deputy]
       .flatMap(id => id ?? [])
@@ -53,11 +53,13 @@
         this.#sentAtMs.set(id, nowMs);
         this.#sentClosedWindow.set(id, this.#closedWindow);
         if (id === membership.self.instance) {
-          duties.collector.onTold({
+          duties.collector.onUsage({
             instance: id,
             incarnation: 0,
             asOfMs: duties.fleetClock.nowMs,
-            windows: duties.usage.since(duties.news?.decidedThrough ?? -1),
+            windows: duties.usage.countsAfter(
+              duties.latestHolding?.decidedThrough ?? -1,
+            ),
           });
           return;
         }
@@ -85,7 +87,8 @@
     if (closed > (this.#sentClosedWindow.get(id) ?? -1)) {
       return true;
     }
-    const isDecided = closed <= (this.duties.news?.decidedThrough ?? -1);
+    const isDecided =
+      closed <= (this.duties.latestHolding?.decidedThrough ?? -1);
     return (
       sinceMs >=
       (isDecided ? this.#openWindowIntervalMs : UNDECIDED_WINDOW_INTERVAL_MS)
--- a/packages/gateway/src/duties/UsageReporting.ts
+++ b/packages/gateway/src/duties/UsageReporting.ts
@@ -4,7 +4,7 @@
 import type { GatewayContext } from '../GatewayContext.js';
 import type { DutyPlatform } from '../ports/DutyPorts.js';
 import type { DutyCalls } from './DutyCalls.js';
-import type { HoldingKeeper } from './HoldingKeeper.js';
+import type { DutyLeaseKeeper } from './DutyLeaseKeeper.js';
 
 /**
  * Determines the usage of the fleet and reports it while this instance holds the
@@ -19,7 +19,7 @@
     private readonly duties: DutyBoard,
     private readonly platform: DutyPlatform,
     private readonly calls: DutyCalls,
-    private readonly keeper: HoldingKeeper,
+    private readonly keeper: DutyLeaseKeeper,
   ) {}
 
   /** Records that this instance has acquired the duties. */
--- a/packages/gateway/src/forward/ForwardedRequest.ts
+++ b/packages/gateway/src/forward/ForwardedRequest.ts
@@ -13,12 +13,12 @@
 import type { ExchangeEnd, RunningExchange } from '../backends/sendAttempt.js';
 import { sendAttempt } from '../backends/sendAttempt.js';
 import type { GatewayContext } from '../GatewayContext.js';
-import type { CallerHead, RawHeaders } from '../ports/CallerDialect.js';
+import type { RequestHead, RawHeaders } from '../ports/CallerDialect.js';
 import { ResponseAssembler } from './ResponseAssembler.js';
 import { ResponseTimings } from './ResponseTimings.js';
 import type { CallerResponse } from './CallerResponse.js';
 import { SseEventBuffer } from './SseEventBuffer.js';
-import { placeOnView } from './placeOnView.js';
+import { placeWhenViewUsable } from './placeWhenViewUsable.js';
 import { RequestFinisher } from './RequestFinisher.js';
 import type { LogFields, RequestProgress } from './RequestRecorder.js';
 import {
@@ -33,7 +33,7 @@
   readonly method: string;
   readonly target: string;
   readonly headers: RawHeaders;
-  readonly head: CallerHead;
+  readonly head: RequestHead;
   readonly body: Buffer | null;
 }
 
@@ -148,7 +148,11 @@
       this.#finishWithCode(callerLeft ? 'callerLeft' : 'backendTimeout', 0, {});
       return false;
     }
-    const decision = await placeOnView(this.context, this.request, this.#tried);
+    const decision = await placeWhenViewUsable(
+      this.context,
+      this.request,
+      this.#tried,
+    );
     if (decision.kind === 'send' && this.#outlastsInstance(decision.placed)) {
       this.#finishWithCode('instanceLeaving', STOPPING_INSTANCE_RETRY_MS, {
         predictedMs: Math.round(decision.placed.predictedWholeMs),
@@ -194,7 +198,7 @@
     const { router, connections, lease, metrics } = this.context;
     const { request } = this;
     const { replica } = placed.load;
-    const attempt = router.begin(
+    const attempt = router.beginAttempt(
       request,
       placed,
       this.#sent + this.#unsent + 1,
@@ -268,7 +272,7 @@
   #backendHeaders(attempt: GatewayAttempt): string[] {
     const { request, call, context } = this;
     const { dialect } = context;
-    return dialect.toBackend(call.headers, {
+    return dialect.toBackendHeaders(call.headers, {
       host: hostHeader(call.headers),
       timeLeftMs: Math.max(1, Math.floor(request.deadlineMs - context.clock())),
       backendServer: attempt.load.replica.id,
--- a/packages/gateway/src/forward/RequestRecorder.ts
+++ b/packages/gateway/src/forward/RequestRecorder.ts
@@ -68,7 +68,9 @@
     ? {
         backendServer: best.load.replica.id,
         tokensAhead: Math.round(best.tokensAhead),
-        lessUrgentTokens: Math.round(best.load.lessUrgentUnread(priority)),
+        lessUrgentTokens: Math.round(
+          best.load.lessUrgentUnreadTokens(priority),
+        ),
         inFlight: best.load.totalInFlight,
       }
     : {};
--- a/packages/gateway/src/forward/ResponseAssembler.ts
+++ b/packages/gateway/src/forward/ResponseAssembler.ts
@@ -2,7 +2,7 @@
 import type { RequestId, RouteKind } from '@jujubecroft/types';
 
 import type {
-  AnswerHead,
+  ResponseHead,
   CallerDialect,
   RawHeaders,
 } from '../ports/CallerDialect.js';
@@ -46,7 +46,7 @@
 export class ResponseAssembler {
   readonly #buffered: Buffer[] = [];
   #bufferedBytes = 0;
-  #head: AnswerHead | null = null;
+  #head: ResponseHead | null = null;
   #status = 0;
   #headers: RawHeaders = [];
   #isRelaying = false;
@@ -63,7 +63,9 @@
    * replica.
    */
   get wasExecuted(): boolean {
-    return this.#head !== null && this.#head.isStamped && !this.#head.notRun;
+    return (
+      this.#head !== null && this.#head.hasExecutionStamp && !this.#head.notRun
+    );
   }
 
   /**
@@ -85,14 +87,14 @@
    */
   start(status: number, headers: RawHeaders): boolean {
     const { requestId, kind, dialect } = this.options;
-    const head = dialect.readAnswer(status, headers);
+    const head = dialect.readResponse(status, headers);
     // A late response to another request can arrive in place of the expected
     // one.
     if (head.requestId !== requestId && !head.notRun) {
       return false;
     }
     const isSuccess = status < MIN_ERROR_STATUS;
-    if (isSuccess && !head.isStamped) {
+    if (isSuccess && !head.hasExecutionStamp) {
       return false;
     }
     this.#head = head;
@@ -147,7 +149,7 @@
     const status = this.#status;
     const response: CompleteResponse = {
       status,
-      headers: dialect.toCaller(this.#headers),
+      headers: dialect.toCallerHeaders(this.#headers),
       body: Buffer.concat(this.#buffered),
     };
     if (status >= MIN_SERVER_ERROR_STATUS || answer.hasStarted) {
@@ -186,7 +188,7 @@
   #startRelay(): void {
     const { answer, dialect } = this.options;
     if (!answer.hasStarted) {
-      answer.start(this.#status, dialect.toCaller(this.#headers));
+      answer.start(this.#status, dialect.toCallerHeaders(this.#headers));
     }
   }
 }
--- a/packages/gateway/src/forward/gatewayResponse.ts
+++ b/packages/gateway/src/forward/gatewayResponse.ts
@@ -27,7 +27,7 @@
     headers: [
       'content-type',
       'application/json',
-      ...dialect.ownAnswer(requestId, retryAfterMs),
+      ...dialect.gatewayResponseHeaders(requestId, retryAfterMs),
     ],
     body: Buffer.from(JSON.stringify({ error })),
   };
--- a/packages/gateway/src/forward/placeOnView.ts
+++ b/packages/gateway/src/forward/placeWhenViewUsable.ts
@@ -18,7 +18,7 @@
  * @param tried - replicas that it was placed at before
  * @returns the replica, or the reason for a refusal
  */
-export async function placeOnView(
+export async function placeWhenViewUsable(
   { router, lease }: GatewayContext,
   request: GatewayRequest,
   tried: ReadonlySet<BackendServerId>,
--- a/packages/gateway/src/front/InFlightRequests.ts
+++ b/packages/gateway/src/front/InFlightRequests.ts
@@ -81,9 +81,9 @@
    */
   #checkAttempts(): void {
     const { router } = this.context;
-    this.#withdraw(router.findSilent(), 'silent');
-    this.#withdraw(router.takeOrphans(), 'replicaRestarted');
-    this.#withdraw(router.findBarred(), 'crashesBackends');
+    this.#withdraw(router.findAttemptsToMove(), 'silent');
+    this.#withdraw(router.takeOrphanedAttempts(), 'replicaRestarted');
+    this.#withdraw(router.findBarredAttempts(), 'crashesBackends');
   }
 
   #withdraw(attempts: readonly GatewayAttempt[], reason: WithdrawReason): void {
--- a/packages/gateway/src/front/acceptEarlyConnections.ts
+++ b/packages/gateway/src/front/acceptEarlyConnections.ts
@@ -3,7 +3,7 @@
 import { createServer } from 'node:net';
 
 /** Connections of callers that were accepted before the server was ready. */
-export interface HeldConnections {
+export interface EarlyConnections {
   /**
    * Hands the listening socket and the accepted connections over to a server.
    */
@@ -26,7 +26,7 @@
   host: string,
   port: number,
   onFailed: (err: Error) => void,
-): HeldConnections {
+): EarlyConnections {
   const waiting: Socket[] = [];
   const listener = createServer({ pauseOnConnect: true, noDelay: true });
   const hold = (socket: Socket): void => {
--- a/packages/gateway/src/front/handleRequest.ts
+++ b/packages/gateway/src/front/handleRequest.ts
@@ -7,7 +7,7 @@
 import type { IncomingRequest } from '../forward/ForwardedRequest.js';
 import { ForwardedRequest } from '../forward/ForwardedRequest.js';
 import { gatewayResponse } from '../forward/gatewayResponse.js';
-import { STALE_VIEW_RETRY_MS } from '../forward/placeOnView.js';
+import { STALE_VIEW_RETRY_MS } from '../forward/placeWhenViewUsable.js';
 import type { GatewayContext } from '../GatewayContext.js';
 import { nextTurn } from '../util/nextTurn.js';
 import { once } from '../util/once.js';
@@ -88,7 +88,7 @@
     prompt: head.prompt,
     arrivedMs,
     deadlineMs: arrivedMs + Math.min(route.timeoutMs, timeLeftMs),
-    cameBack: context.router.cameBack(route, timeLeftMs),
+    isCallerRetry: context.router.isCallerRetry(route, timeLeftMs),
     fingerprint: once(() => fingerprintOf(call, organisation?.id ?? null)),
   };
 }
@@ -110,7 +110,7 @@
   const arrivedMs = context.clock();
   const { router, dialect } = context;
   const limits = router.board.table?.cfg.limits;
-  const head = dialect.readCaller(req.rawHeaders);
+  const head = dialect.readRequest(req.rawHeaders);
   const target = req.url ?? '/';
   if (headBytes(req) > (limits?.maxHeaderBytes ?? DEFAULT_MAX_HEAD_BYTES)) {
     refuse(context, res, 'headTooLarge', head.id);
--- a/packages/gateway/src/front/listenEarly.ts
+++ b/packages/gateway/src/front/listenEarly.ts
@@ -1,10 +1,10 @@
 import { readFileSync } from 'node:fs';
 
-import type { HeldConnections } from './acceptEarlyConnections.js';
+import type { EarlyConnections } from './acceptEarlyConnections.js';
 import { parseAddress } from '../util/parseAddress.js';
 import { acceptEarlyConnections } from './acceptEarlyConnections.js';
 
-export type { HeldConnections } from './acceptEarlyConnections.js';
+export type { EarlyConnections } from './acceptEarlyConnections.js';
 export { acceptEarlyConnections } from './acceptEarlyConnections.js';
 
 /**
@@ -23,7 +23,7 @@
 export function listenEarly(
   file: string | undefined,
   addressOf: (settings: unknown) => unknown,
-): HeldConnections | null {
+): EarlyConnections | null {
   if (file === undefined) {
     return null;
   }
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -4,15 +4,15 @@
   JsonReply,
 } from './backends/JsonClient.js';
 export { JsonClient } from './backends/JsonClient.js';
-export { requestWhole } from './backends/requestWhole.js';
+export { sendHttpRequest } from './backends/sendHttpRequest.js';
 export type { GatewayContext } from './GatewayContext.js';
 export { isReady } from './GatewayContext.js';
 export type { GatewaySettings, ListenAddress } from './GatewaySettings.js';
 export type {
-  AnswerHead,
-  BackendHead,
+  ResponseHead,
+  BackendRequestHead,
   CallerDialect,
-  CallerHead,
+  RequestHead,
   RawHeaders,
 } from './ports/CallerDialect.js';
 export type {
@@ -24,20 +24,20 @@
 export type { ConditionalRow } from './duties/createHoldingStore.js';
 export { createHoldingStore } from './duties/createHoldingStore.js';
 export type {
-  DutyAnswer,
+  DutyCallResult,
   DutyCaller,
   DutyPlatform,
   DutyPorts,
   HoldingRead,
   HoldingStore,
-  HoldingWritten,
+  HoldingWriteResult,
 } from './ports/DutyPorts.js';
 export type { SideRoutes } from './side/createSideApp.js';
 export { addressAgeMs, chooseAddresses } from './side/chooseAddresses.js';
 export type { GatewayPorts, RunningGateway } from './startGateway.js';
 export { startGateway } from './startGateway.js';
-export { parseMemberNote } from './state/parseMemberNote.js';
-export { toAmount, toCount, toNumber } from './util/headerNumbers.js';
+export { parseMemberEntry } from './state/parseMemberEntry.js';
+export { parseAmount, parseCount, parseNumber } from './util/headerNumbers.js';
 export { formatRowContent, parseRowContent } from './util/rowContent.js';
 export type { HeaderPair } from './util/headers.js';
 export { headerMap, headersWithout } from './util/headers.js';
@@ -48,7 +48,10 @@
   SettingsSource,
 } from './runFromSettings.js';
 export { runFromSettings } from './runFromSettings.js';
-export { ADDRESS, parseAddress } from './util/parseAddress.js';
-export type { CheckedRead, ValidationIssue } from './util/readChecked.js';
-export { readChecked } from './util/readChecked.js';
+export { ADDRESS_PATTERN, parseAddress } from './util/parseAddress.js';
+export type {
+  DocumentParseResult,
+  ValidationIssue,
+} from './util/parseDocument.js';
+export { parseDocument } from './util/parseDocument.js';
 export { fromReplicaFields, toReplicaFields } from './state/gatewayState.js';
--- a/packages/gateway/src/ports/CallerDialect.ts
+++ b/packages/gateway/src/ports/CallerDialect.ts
@@ -10,7 +10,7 @@
 export type RawHeaders = readonly string[];
 
 /** Contents of the head of a caller's request. */
-export interface CallerHead {
+export interface RequestHead {
   /** Request id; null if the caller sent none. */
   readonly id: RequestId | null;
   /** The caller's key; null if there is none. */
@@ -32,7 +32,7 @@
 }
 
 /** Values that the gateway adds to a request for a backend server. */
-export interface BackendHead {
+export interface BackendRequestHead {
   readonly host: string;
   /** Time until the deadline of the request, in milliseconds. */
   readonly timeLeftMs: number;
@@ -52,11 +52,11 @@
 }
 
 /** Contents of the head of a backend server's response. */
-export interface AnswerHead {
+export interface ResponseHead {
   /** Id of the request that the response belongs to; null if not stated. */
   readonly requestId: string | null;
   /** Whether the response carries the stamp that proves execution. */
-  readonly isStamped: boolean;
+  readonly hasExecutionStamp: boolean;
   /** Whether the backend server states that it did not execute the request. */
   readonly notRun: boolean;
   /** Load of the backend server; null if not reported. */
@@ -75,22 +75,25 @@
  */
 export interface CallerDialect {
   /** Reads the headers of a caller's request. */
-  readonly readCaller: (raw: RawHeaders) => CallerHead;
+  readonly readRequest: (raw: RawHeaders) => RequestHead;
   /**
    * Returns the headers for a backend server: the forwarded headers of the
    * caller and those of the gateway.
    */
-  readonly toBackend: (raw: RawHeaders, head: BackendHead) => string[];
+  readonly toBackendHeaders: (
+    raw: RawHeaders,
+    head: BackendRequestHead,
+  ) => string[];
   /** Reads the headers of a response. */
-  readonly readAnswer: (status: number, raw: RawHeaders) => AnswerHead;
+  readonly readResponse: (status: number, raw: RawHeaders) => ResponseHead;
   /** Returns the headers of a response that are forwarded to the caller. */
-  readonly toCaller: (raw: RawHeaders) => string[];
+  readonly toCallerHeaders: (raw: RawHeaders) => string[];
   /**
    * Returns headers for a response that the gateway generates itself.
    *
    * `retryAfterMs` is 0 if a retry is of no use.
    */
-  readonly ownAnswer: (
+  readonly gatewayResponseHeaders: (
     requestId: RequestId | null,
     retryAfterMs: number,
   ) => string[];
--- a/packages/gateway/src/ports/DutyPorts.ts
+++ b/packages/gateway/src/ports/DutyPorts.ts
@@ -16,7 +16,7 @@
 }
 
 /** Result of a conditional write. */
-export type HoldingWritten =
+export type HoldingWriteResult =
   | { readonly kind: 'refused' }
   | {
       readonly kind: 'written';
@@ -31,7 +31,7 @@
    * Writes the row conditionally; rejects if it is unknown whether the write
    * took effect.
    */
-  readonly write: (write: HoldingWrite) => Promise<HoldingWritten>;
+  readonly write: (write: HoldingWrite) => Promise<HoldingWriteResult>;
 }
 
 /**
@@ -47,7 +47,7 @@
  * cannot provide the replicas, `busy` if it receives more calls than it
  * accepts.
  */
-export type DutyAnswer = 'accepted' | 'busy' | 'refused';
+export type DutyCallResult = 'accepted' | 'busy' | 'refused';
 
 /**
  * Calls that one instance makes on behalf of all; each rejects if no response
@@ -57,11 +57,11 @@
   readonly reportUsage: (
     caller: DutyCaller,
     usage: WindowUsage,
-  ) => Promise<DutyAnswer>;
+  ) => Promise<DutyCallResult>;
   readonly orderReplicas: (
     caller: DutyCaller,
     order: ReplicaOrder,
-  ) => Promise<DutyAnswer>;
+  ) => Promise<DutyCallResult>;
   readonly close: () => void;
 }
 
--- a/packages/gateway/src/ports/PeerLink.ts
+++ b/packages/gateway/src/ports/PeerLink.ts
@@ -12,7 +12,7 @@
    * Called if a datagram could not be sent; the address is empty if it is
    * unknown.
    */
-  readonly onSendFault: (to: string, err: Error) => void;
+  readonly onSendError: (to: string, err: Error) => void;
 }
 
 /** Transport between instances. */
--- a/packages/gateway/src/runFromSettings.ts
+++ b/packages/gateway/src/runFromSettings.ts
@@ -1,11 +1,11 @@
 import type { EventLog } from '@jujubecroft/events';
 import { createBoundedLog } from '@jujubecroft/events';
 
-import type { HeldConnections } from './front/acceptEarlyConnections.js';
+import type { EarlyConnections } from './front/acceptEarlyConnections.js';
 import type { GatewaySettings } from './GatewaySettings.js';
 import type { GatewayPorts, RunningGateway } from './startGateway.js';
 import { startGateway } from './startGateway.js';
-import type { CheckedRead } from './util/readChecked.js';
+import type { DocumentParseResult } from './util/parseDocument.js';
 
 /**
  * Interval at which the settings file is checked for changes; it may change
@@ -34,7 +34,7 @@
   /**
    * Connections of callers that were accepted while the program was loading.
    */
-  readonly held?: HeldConnections | null;
+  readonly held?: EarlyConnections | null;
   /** Creates the log; writes to standard output if omitted. */
   readonly createLog?: LogFactory;
 }
@@ -48,7 +48,7 @@
 > {
   /** Path of the settings file. */
   readonly file: string;
-  readonly read: () => CheckedRead<Settings>;
+  readonly read: () => DocumentParseResult<Settings>;
   readonly createPorts: (settings: Settings, log: EventLog) => GatewayPorts;
 }
 
--- a/packages/gateway/src/side/listenRaw.ts
+++ b/packages/gateway/src/side/startHttpServer.ts
@@ -11,7 +11,7 @@
  * @returns the server, listening
  * @throws Error if the port is taken
  */
-export async function listenRaw(
+export async function startHttpServer(
   listener: RequestListener,
   { host, port }: ListenAddress,
 ): Promise<Server> {
--- a/packages/gateway/src/startGateway.ts
+++ b/packages/gateway/src/startGateway.ts
@@ -9,7 +9,7 @@
 import type { CallerServer } from './front/createCallerServer.js';
 import { DutyLoop } from './duties/DutyLoop.js';
 import { createCallerServer } from './front/createCallerServer.js';
-import type { HeldConnections } from './front/acceptEarlyConnections.js';
+import type { EarlyConnections } from './front/acceptEarlyConnections.js';
 import { InFlightRequests } from './front/InFlightRequests.js';
 import type { GatewayContext } from './GatewayContext.js';
 import { isReady } from './GatewayContext.js';
@@ -19,11 +19,11 @@
 import type { DutyPorts } from './ports/DutyPorts.js';
 import type { SideRoutes } from './side/createSideApp.js';
 import { createSideApp } from './side/createSideApp.js';
-import { listenRaw } from './side/listenRaw.js';
+import { startHttpServer } from './side/startHttpServer.js';
 import { createPeerLink } from './state/createPeerLink.js';
-import { createSync } from './state/createSync.js';
+import { createViewSync } from './state/createViewSync.js';
 import { RUNTIME_TIMERS } from './util/runtimeTimers.js';
-import { createWakeUpWatch } from './wakeUpWatch.js';
+import { createSuspensionDetector } from './wakeUpWatch.js';
 
 /** Ports through which an instance uses the systems around it. */
 export interface GatewayPorts {
@@ -67,7 +67,7 @@
 async function listenForCallers(
   { app, server }: CallerServer,
   { host, port }: ListenAddress,
-  held: HeldConnections | null,
+  held: EarlyConnections | null,
 ): Promise<void> {
   if (!held) {
     await app.listen({ host, port });
@@ -88,7 +88,7 @@
   );
   return Promise.all(
     addresses.map(address =>
-      listenRaw((req, res) => {
+      startHttpServer((req, res) => {
         app.routing(req, res);
       }, address),
     ),
@@ -150,7 +150,7 @@
   settings: GatewaySettings,
   ports: GatewayPorts,
   log: EventLog,
-  held: HeldConnections | null = null,
+  held: EarlyConnections | null = null,
 ): Promise<RunningGateway> {
   const clock = (): number => performance.now();
   const context = createContext(settings, {
@@ -162,7 +162,7 @@
   });
   const inFlight = new InFlightRequests(context);
   const callerServer = createCallerServer(context, inFlight);
-  const { view, reader, peers } = createSync(
+  const { view, reader, peers } = createViewSync(
     context,
     { store: ports.store, link: createPeerLink(settings.peers) },
     callerServer.limit,
@@ -178,13 +178,13 @@
     log,
   );
   const limitLogger = new ReplicaLimitLogger(context.router.board, log);
-  const takeSuspendedMs = createWakeUpWatch(clock);
+  const takeSuspendedMs = createSuspensionDetector(clock);
   let wasReady = false;
 
   const runHousekeeping = (): void => {
     const { replicas } = context.router.board;
     context.delays.note();
-    view.onReplicas(replicas.tick(), 'lapse');
+    view.applyReplicaChanges(replicas.tick(), 'lapse');
     avoidanceLogger.logChanges();
     barredRequestLogger.logChanges();
     limitLogger.logChanges();
@@ -193,7 +193,7 @@
       log.write('wokeUp', { stoodStillMs: Math.round(suspendedMs) });
       context.router.board.storeClock.forget();
       void reader.refresh();
-      peers.askAround();
+      peers.probeRandomMembers();
     }
     if (!wasReady && isReady(context)) {
       wasReady = true;
--- a/packages/gateway/src/state/FleetView.ts
+++ b/packages/gateway/src/state/FleetView.ts
@@ -77,7 +77,7 @@
    * @param changes - changes that the registry has already applied
    * @param source - where they came from, for the log
    */
-  onReplicas(changes: readonly ReplicaChange[], source: string): void {
+  applyReplicaChanges(changes: readonly ReplicaChange[], source: string): void {
     if (changes.length === 0) {
       return;
     }
--- a/packages/gateway/src/state/PeerLoop.ts
+++ b/packages/gateway/src/state/PeerLoop.ts
@@ -1,9 +1,9 @@
 import type { Member } from '@jujubecroft/decisions';
 import {
-  MemberStateWatch,
+  MemberStateTracker,
   PeerProbes,
   isReader,
-  isReaderDue,
+  shouldQueryReader,
   rankOf,
   readersOf,
   rotated,
@@ -67,7 +67,7 @@
 export class PeerLoop {
   readonly #state: PeerState;
   readonly #probes: PeerProbes;
-  readonly #memberStates = new MemberStateWatch();
+  readonly #memberStates = new MemberStateTracker();
   #isPulling = false;
   #cancelRounds: CancelTimer | null = null;
   #cancelPendingSpread: CancelTimer | null = null;
@@ -90,7 +90,7 @@
     );
     this.#probes = new PeerProbes(context.membership, context.clock, {
       periodMs: PEER_PERIOD_MS,
-      answerMs: ANSWER_TIMEOUT_MS,
+      answerTimeoutMs: ANSWER_TIMEOUT_MS,
       missesToSuspect: MISSES_TO_SUSPECT,
     });
     view.onUrgentChange(() => {
@@ -109,7 +109,7 @@
         this.#state.receive(request, null);
         return reply;
       },
-      onSendFault: (to, err) => {
+      onSendError: (to, err) => {
         this.#logError(to, err);
       },
     });
@@ -164,7 +164,7 @@
   }
 
   /** Probes some members for their state, for a process that was suspended. */
-  askAround(): void {
+  probeRandomMembers(): void {
     this.#randomMembers().forEach(member => {
       this.#sendProbe(member.peerAddress, member);
     });
@@ -222,7 +222,7 @@
   #isReaderDue(): boolean {
     const { membership, router, settings } = this.context;
     const ageMs = viewAgeMs(router.board);
-    if (!isReaderDue(ageMs, settings.freshWithinMs)) {
+    if (!shouldQueryReader(ageMs, settings.freshWithinMs)) {
       return false;
     }
     const { self, instances } = membership;
@@ -241,7 +241,7 @@
     const readers = readersOf(membership.instances);
     const known = membership.serving.filter(({ id }) => readers.includes(id));
     const reader = rotated(known, router.board.random).find(
-      ({ peerAddress }) => !this.#probes.awaits(peerAddress),
+      ({ peerAddress }) => !this.#probes.hasOutstanding(peerAddress),
     );
     if (reader) {
       this.#sendProbe(reader.peerAddress, reader, true);
@@ -276,7 +276,7 @@
     }
     const { question, answerTo, heartbeat } = state;
     const from = brand<InstanceId>(heartbeat.instance);
-    const askedMs = this.#probes.onHeard(from, answerTo);
+    const askedMs = this.#probes.onMessage(from, answerTo);
     if (question !== 0) {
       this.#send(
         address,
@@ -301,7 +301,7 @@
 
   #catchUp(address: string, method: CatchUpMethod): void {
     if (method === 'probe') {
-      if (!this.#probes.awaits(address)) {
+      if (!this.#probes.hasOutstanding(address)) {
         this.#sendProbe(address, null);
       }
       return;
@@ -344,7 +344,7 @@
 
   #logMemberChanges(): void {
     const { membership, log } = this.context;
-    this.#memberStates.look(membership.members).forEach(change => {
+    this.#memberStates.detectChanges(membership.members).forEach(change => {
       log.write('memberChanged', { ...change });
     });
   }
--- a/packages/gateway/src/state/PeerState.ts
+++ b/packages/gateway/src/state/PeerState.ts
@@ -1,5 +1,5 @@
 import type { ReplicaChanges } from '@jujubecroft/decisions';
-import { limitNews, takeLimits } from '@jujubecroft/decisions';
+import { createLimitReports, applyLimitReports } from '@jujubecroft/decisions';
 import type { proto } from '@jujubecroft/operator/peers';
 import {
   fromHeartbeatMessage,
@@ -128,12 +128,12 @@
     return this.#buildMessage(
       purpose,
       known
-        ? replicas.changesWithin(known.replicas, MAX_REPLICA_CHANGES)
+        ? replicas.limitedChangesSince(known.replicas, MAX_REPLICA_CHANGES)
         : replicas.newestChanges(MAX_REPLICA_CHANGES),
       toChangesFields(
         known
           ? configurations.since(known.configuration)
-          : configurations.newest(RECENT_CHANGE_MS),
+          : configurations.recentChanges(RECENT_CHANGE_MS),
         MAX_DATAGRAM_CONFIGURATION_CHARS,
       ),
     );
@@ -205,7 +205,7 @@
       ...toReplicaFields(changes),
       replicasChangedAt: board.replicas.changedAt,
       ...toCrashFields(board.crashes.news),
-      limits: toLimits(limitNews(board)),
+      limits: toLimits(createLimitReports(board)),
       ...toDutyFields(board.duties, false),
       ...purpose,
     };
@@ -216,9 +216,9 @@
     const { router } = this.context;
     const { demand, lengths } = router.board;
     return {
-      uses: toUses(router.ownUses),
-      demands: toDemands(demand.own, route => lengths.seen(route)),
-      reports: toReports(router.heardReports),
+      uses: toUses(router.ownReplicaUses),
+      demands: toDemands(demand.own, route => lengths.ownLength(route)),
+      reports: toReports(router.loadReports),
     };
   }
 
@@ -238,10 +238,10 @@
     membership.onMessage(fromHeartbeatMessage(heartbeat));
     const peer = brand<InstanceId>(heartbeat.instance);
     if (!state.viewOnly) {
-      router.onPeerWork(peer, toPeerWork(state));
+      router.onPeerUpdate(peer, toPeerWork(state));
     }
     router.board.crashes.onPeer(fromCrashFields(state));
-    takeLimits(router.board, fromLimits(state.limits));
+    applyLimitReports(router.board, fromLimits(state.limits));
     this.#receiveDuties(state, peer);
     this.#receiveStoreTimes(state, askedMs);
     this.#receiveConfiguration(state, peer);
@@ -283,7 +283,7 @@
     if (askedMs !== null && state.storeMs >= 0) {
       storeClock.read(state.storeMs, askedMs);
     }
-    board.othersAsOfMs = Math.max(board.othersAsOfMs, asOfMs);
+    board.peersAsOfMs = Math.max(board.peersAsOfMs, asOfMs);
   }
 
   #receiveConfiguration(state: proto.GatewayState, peer: InstanceId): void {
@@ -322,8 +322,8 @@
       return;
     }
     const changes = fromReplicaFields(state);
-    if (replicas.connects(changes)) {
-      this.view.onReplicas(replicas.merge(changes), peer);
+    if (replicas.followsWithoutGap(changes)) {
+      this.view.applyReplicaChanges(replicas.merge(changes), peer);
       return;
     }
     // An answer contains all changes that fit into a datagram; pull if it isn't enough.
--- a/packages/gateway/src/state/StoreReader.ts
+++ b/packages/gateway/src/state/StoreReader.ts
@@ -1,4 +1,4 @@
-import { rankOf, readAtAgeMs } from '@jujubecroft/decisions';
+import { rankOf, storeReadAgeMs } from '@jujubecroft/decisions';
 
 import type { GatewayContext } from '../GatewayContext.js';
 import type {
@@ -117,7 +117,7 @@
    */
   #dueInMs(ageMs: number): number {
     const { freshWithinMs } = this.context.settings;
-    return Math.max(0, readAtAgeMs(this.#rank, freshWithinMs) - ageMs);
+    return Math.max(0, storeReadAgeMs(this.#rank, freshWithinMs) - ageMs);
   }
 
   get #replicaReadIntervalMs(): number {
@@ -194,14 +194,17 @@
       this.#updateStoreClock(storeMs, askedMs);
       // Must precede the rows: after an outage, expired entries in them are tolerated.
       this.#onAnswered();
-      this.view.onReplicas(replicas.applyRows(rows, version, storeMs), 'store');
+      this.view.applyReplicaChanges(
+        replicas.applyRows(rows, version, storeMs),
+        'store',
+      );
       return;
     }
     const { rows, version, storeMs } = await this.store.readReplicas();
     this.#updateStoreClock(storeMs, askedMs);
     this.#onAnswered();
     const changes = replicas.applySnapshot(rows, version, storeMs);
-    this.view.onReplicas(changes, 'store');
+    this.view.applyReplicaChanges(changes, 'store');
   }
 
   async #tryCall(call: StoreCall, run: () => Promise<void>): Promise<boolean> {
@@ -231,7 +234,7 @@
     // other instances read the store meanwhile, entries of live replicas have not
     // expired.
     if (awayMs >= MIN_OUTAGE_MS && replicas.ageMs >= awayMs) {
-      replicas.expectLapses(RECOVERY_MS);
+      replicas.beginLapseGracePeriod(RECOVERY_MS);
     }
     log.write('platformBack', { awayMs: Math.round(awayMs) });
   }
--- a/packages/gateway/src/state/ViewLease.ts
+++ b/packages/gateway/src/state/ViewLease.ts
@@ -1,5 +1,5 @@
 import type { GatewayBoard, ViewState } from '@jujubecroft/decisions';
-import { judgeView } from '@jujubecroft/decisions';
+import { determineViewState } from '@jujubecroft/decisions';
 
 import type { Timers } from '../ports/Timers.js';
 
@@ -85,7 +85,7 @@
   }
 
   get #state(): ViewState {
-    return judgeView(this.board, this.boundMs());
+    return determineViewState(this.board, this.boundMs());
   }
 
   async #renew(): Promise<void> {
--- a/packages/gateway/src/state/configurationMessage.ts
+++ b/packages/gateway/src/state/configurationMessage.ts
@@ -1,6 +1,6 @@
 import { gunzipSync, gzipSync } from 'node:zlib';
 import type { ConfigurationChanges } from '@jujubecroft/decisions';
-import { followChanges } from '@jujubecroft/decisions';
+import { applyChangeSequence } from '@jujubecroft/decisions';
 import type { proto } from '@jujubecroft/operator/peers';
 import type { RoutingConfiguration } from '@jujubecroft/types';
 
@@ -84,5 +84,5 @@
     return null;
   }
   const changes = JSON.parse(configurationChanges) as ConfigurationChanges[];
-  return followChanges(known, changes);
+  return applyChangeSequence(known, changes);
 }
--- a/packages/gateway/src/state/createPeerLink.ts
+++ b/packages/gateway/src/state/createPeerLink.ts
@@ -17,7 +17,7 @@
   let server: FastifyInstance | null = null;
   let socket: PeerSocket | null = null;
   return {
-    listen: async ({ onDatagram, onPull, onSendFault }) => {
+    listen: async ({ onDatagram, onPull, onSendError: onSendFault }) => {
       server = createPeerServer(onPull);
       socket = new PeerSocket(onDatagram, onSendFault);
       await server.listen({ host: address.host, port: address.port });
--- a/packages/gateway/src/state/createSync.ts
+++ b/packages/gateway/src/state/createViewSync.ts
@@ -28,7 +28,7 @@
  * @param onLimits - called with the caller limits of each new configuration
  * @returns the parts, not yet started
  */
-export function createSync(
+export function createViewSync(
   context: GatewayContext,
   { store, link }: ViewSources,
   onLimits: (limits: CallerLimits) => void,
@@ -38,7 +38,7 @@
   const peers = new PeerLoop(context, view, link);
   const { crashes, limits } = context.router.board;
   [crashes, limits].forEach(source => {
-    source.onNews(() => {
+    source.onChange(() => {
       peers.spread();
     });
   });
--- a/packages/gateway/src/state/dutyMessage.ts
+++ b/packages/gateway/src/state/dutyMessage.ts
@@ -1,5 +1,5 @@
-import type { DutyBoard, ToldUsage } from '@jujubecroft/decisions';
-import { noteHolding } from '@jujubecroft/decisions';
+import type { DutyBoard, InstanceUsage } from '@jujubecroft/decisions';
+import { recordHolding } from '@jujubecroft/decisions';
 import type { proto } from '@jujubecroft/operator/peers';
 import type { InstanceId, OrganisationId } from '@jujubecroft/types';
 import { brand } from '@jujubecroft/types';
@@ -19,13 +19,13 @@
 
 function toUsageFields({
   fleetClock,
-  news,
+  latestHolding: news,
   usage,
 }: DutyBoard): Pick<DutyFields, 'usage' | 'usageAsOfMs'> {
   return {
     usageAsOfMs: fleetClock.nowMs,
     usage: usage
-      .since(news?.decidedThrough ?? -1)
+      .countsAfter(news?.decidedThrough ?? -1)
       .map(({ window, counts }) => ({
         window,
         counts: Object.entries(counts).map(([organisation, count]) => ({
@@ -52,7 +52,7 @@
   }
   return {
     ...NO_DUTIES,
-    holding: board.news ?? undefined,
+    holding: board.latestHolding ?? undefined,
     unixMs: board.fleetClock.timeOfDay(),
     ...(withUsage ? toUsageFields(board) : {}),
   };
@@ -60,7 +60,7 @@
 
 function toCounts(
   counts: readonly proto.OrganisationCount[],
-): ToldUsage['windows'][number]['counts'] {
+): InstanceUsage['windows'][number]['counts'] {
   return Object.fromEntries(
     counts.map(({ organisation, count }) => [
       brand<OrganisationId>(organisation),
@@ -96,7 +96,7 @@
     board.fleetClock.onPeer(instance, unixMs, storeMs);
   }
   if (usageAsOfMs > 0) {
-    board.collector.onTold({
+    board.collector.onUsage({
       instance,
       incarnation,
       asOfMs: usageAsOfMs,
@@ -107,7 +107,7 @@
     });
   }
   return holding
-    ? noteHolding(board, {
+    ? recordHolding(board, {
         ...holding,
         instance: brand<InstanceId>(holding.instance),
       })
--- a/packages/gateway/src/state/gatewayState.ts
+++ b/packages/gateway/src/state/gatewayState.ts
@@ -1,12 +1,12 @@
 import type {
-  HeardReport,
+  RelayedLoadReport,
   LimitReport,
-  OwnUse,
-  PeerWork,
+  ReplicaUse,
+  PeerUpdate,
   ReplicaChanges,
   ReplicaRecord,
   RouteDemand,
-  SeenLength,
+  ObservedLength,
 } from '@jujubecroft/decisions';
 import type { proto } from '@jujubecroft/operator/peers';
 import type {
@@ -124,7 +124,7 @@
 }
 
 /** @returns the message fields for the load of this instance at each backend server */
-export function toUses(uses: readonly OwnUse[]): proto.BackendUse[] {
+export function toUses(uses: readonly ReplicaUse[]): proto.BackendUse[] {
   return uses.map(({ id, bornMs, inFlight, unreadByRank }) => ({
     backendServer: id,
     bornMs: bornMs ?? UNKNOWN_START,
@@ -136,7 +136,7 @@
 
 /** @returns the message fields for the loads that replicas reported */
 export function toReports(
-  reports: readonly HeardReport[],
+  reports: readonly RelayedLoadReport[],
 ): proto.BackendReport[] {
   return reports.map(({ id, bornMs, total, ageMs }) => ({
     backendServer: id,
@@ -177,7 +177,7 @@
  */
 export function toDemands(
   demands: readonly RouteDemand[],
-  lengthOf: (route: RouteId) => SeenLength,
+  lengthOf: (route: RouteId) => ObservedLength,
 ): proto.RouteDemand[] {
   return demands.map(demand => ({ ...demand, ...lengthOf(demand.route) }));
 }
@@ -187,7 +187,7 @@
   uses,
   demands,
   reports,
-}: proto.GatewayState): PeerWork {
+}: proto.GatewayState): PeerUpdate {
   return {
     reports: reports.map(report => ({
       id: brand<BackendServerId>(report.backendServer),
--- a/packages/gateway/src/state/parseMemberNote.ts
+++ b/packages/gateway/src/state/parseMemberEntry.ts
@@ -16,7 +16,7 @@
  * @param content - parsed JSON of the entry
  * @returns the member; null if the entry is invalid
  */
-export function parseMemberNote(
+export function parseMemberEntry(
   instance: string,
   content: unknown,
 ): ListedMember | null {
--- a/packages/gateway/src/state/pullState.ts
+++ b/packages/gateway/src/state/pullState.ts
@@ -1,7 +1,7 @@
 import { GatewayState } from '@jujubecroft/operator/peers';
 import type { proto } from '@jujubecroft/operator/peers';
 
-import { requestWhole } from '../backends/requestWhole.js';
+import { sendHttpRequest } from '../backends/sendHttpRequest.js';
 import { PULL_PATH, PULL_TYPE } from './createPeerServer.js';
 
 /** Timeout of one request, in milliseconds; the network takes only a few of them. */
@@ -23,7 +23,7 @@
   address: string,
   state: proto.GatewayState,
 ): Promise<proto.GatewayState> {
-  const { status, body } = await requestWhole({
+  const { status, body } = await sendHttpRequest({
     address,
     method: 'POST',
     path: PULL_PATH,
--- a/packages/gateway/src/util/headerNumbers.ts
+++ b/packages/gateway/src/util/headerNumbers.ts
@@ -9,7 +9,7 @@
  * @param text - value of a header
  * @returns the number; null if the text is missing or not a finite number
  */
-export function toNumber(text: string | undefined): number | null {
+export function parseNumber(text: string | undefined): number | null {
   const value = Number(text);
   return text === undefined || text.trim() === '' || !Number.isFinite(value)
     ? null
@@ -22,8 +22,8 @@
  * @param text - value of a header
  * @returns the number; null if the text is not a number or out of range
  */
-export function toAmount(text: string | undefined): number | null {
-  const value = toNumber(text);
+export function parseAmount(text: string | undefined): number | null {
+  const value = parseNumber(text);
   return value !== null && value >= 0 && value <= MAX_REQUESTS ? value : null;
 }
 
@@ -37,7 +37,7 @@
  * @param text - value of a header
  * @returns the number; null if the text is not an integer or out of range
  */
-export function toCount(text: string | undefined): number | null {
-  const value = toAmount(text);
+export function parseCount(text: string | undefined): number | null {
+  const value = parseAmount(text);
   return Number.isInteger(value) ? value : null;
 }
--- a/packages/gateway/src/util/parseAddress.ts
+++ b/packages/gateway/src/util/parseAddress.ts
@@ -1,7 +1,7 @@
 import type { ListenAddress } from '../GatewaySettings.js';
 
 /** Pattern of an IPv4 address and a port. */
-export const ADDRESS = /^([\d.]+):(\d+)$/;
+export const ADDRESS_PATTERN = /^([\d.]+):(\d+)$/;
 
 /**
  * Parses an address.
@@ -10,6 +10,6 @@
  * @returns host and port; null if the text is not an address
  */
 export function parseAddress(text: string): ListenAddress | null {
-  const [, host, port] = ADDRESS.exec(text) ?? [];
+  const [, host, port] = ADDRESS_PATTERN.exec(text) ?? [];
   return host === undefined ? null : { host, port: Number(port) };
 }
--- a/packages/gateway/src/util/readChecked.ts
+++ b/packages/gateway/src/util/parseDocument.ts
@@ -8,7 +8,7 @@
 }
 
 /** Settings of a valid document, or all validation errors of an invalid one. */
-export type CheckedRead<Settings> =
+export type DocumentParseResult<Settings> =
   | { readonly ok: true; readonly settings: Settings }
   | { readonly ok: false; readonly faults: readonly ValidationIssue[] };
 
@@ -20,11 +20,11 @@
  * @param toSettings - converts the validated document
  * @returns the settings, or all validation errors
  */
-export function readChecked<Schema extends z.ZodType, Settings>(
+export function parseDocument<Schema extends z.ZodType, Settings>(
   text: string,
   schema: Schema,
   toSettings: (checked: z.infer<Schema>) => Settings,
-): CheckedRead<Settings> {
+): DocumentParseResult<Settings> {
   let json: unknown;
   try {
     json = JSON.parse(text);
--- a/packages/gateway/src/wakeUpWatch.ts
+++ b/packages/gateway/src/wakeUpWatch.ts
@@ -20,7 +20,7 @@
  * @returns a function that returns the time suspended since its previous call,
  *   in milliseconds, or 0
  */
-export function createWakeUpWatch(
+export function createSuspensionDetector(
   clock: () => number,
   timeOfDay: () => number = Date.now,
 ): () => number {
--- a/packages/gateway/tests/backends/requestWhole.test.ts
+++ b/packages/gateway/tests/backends/sendHttpRequest.test.ts
@@ -3,8 +3,8 @@
 import { listenOn } from '@jujubecroft/stand-ins/util';
 import { describe } from '@jujubecroft/testing';
 
-import type { HttpReply } from '../../src/backends/requestWhole.js';
-import { requestWhole } from '../../src/backends/requestWhole.js';
+import type { HttpReply } from '../../src/backends/sendHttpRequest.js';
+import { sendHttpRequest } from '../../src/backends/sendHttpRequest.js';
 
 const HOST = '127.0.0.1';
 const TIMEOUT_MS = 100;
@@ -20,7 +20,7 @@
   const server = createServer(listener);
   const port = await listenOn(server, HOST);
   try {
-    return await requestWhole({
+    return await sendHttpRequest({
       address: `${HOST}:${port}`,
       method: 'GET',
       path: '/',
--- a/packages/gateway/tests/helpers/VirtualDuties.ts
+++ b/packages/gateway/tests/helpers/VirtualDuties.ts
@@ -4,7 +4,7 @@
 
 import { DutyLoop } from '../../src/duties/DutyLoop.js';
 import type { GatewayContext } from '../../src/GatewayContext.js';
-import { createSync } from '../../src/state/createSync.js';
+import { createViewSync } from '../../src/state/createViewSync.js';
 import {
   createConfiguration,
   createReplica,
@@ -163,7 +163,7 @@
 
   #start(member: VirtualMember): void {
     const { context } = member;
-    const { reader, peers } = createSync(
+    const { reader, peers } = createViewSync(
       context,
       {
         store: this.#store.connect(member),
@@ -204,7 +204,7 @@
     const { duties } = context.router.board;
     const at = Math.floor(ORGANISATIONS.length * this.#random() ** 2);
     const organisation = ORGANISATIONS[at] ?? null;
-    duties?.usage.onBegan({ organisation }, duties.fleetClock.nowMs);
+    duties?.usage.onStarted({ organisation }, duties.fleetClock.nowMs);
     const window = Math.floor((UNIX_MS + this.time.nowMs) / DUTIES.windowMs);
     const counts = this.#actualCounts.get(window) ?? new Map<string, number>();
     this.#actualCounts.set(window, counts);
--- a/packages/gateway/tests/helpers/VirtualDutyPlatform.ts
+++ b/packages/gateway/tests/helpers/VirtualDutyPlatform.ts
@@ -2,10 +2,10 @@
 import type { DutyAct } from '@jujubecroft/testing';
 
 import type {
-  DutyAnswer,
+  DutyCallResult,
   DutyCaller,
   DutyPorts,
-  HoldingWritten,
+  HoldingWriteResult,
 } from '../../src/ports/DutyPorts.js';
 import type { VirtualProcess, VirtualTime } from './VirtualTime.js';
 
@@ -135,7 +135,7 @@
     };
   }
 
-  #write({ expectedVersion, holding }: HoldingWrite): HoldingWritten {
+  #write({ expectedVersion, holding }: HoldingWrite): HoldingWriteResult {
     if (expectedVersion !== this.#row.version) {
       return { kind: 'refused' };
     }
@@ -153,7 +153,7 @@
     { instance, token }: DutyCaller,
     window: number,
     counts: string,
-  ): DutyAnswer {
+  ): DutyCallResult {
     if (token < this.#highestToken) {
       return 'refused';
     }
--- a/packages/gateway/tests/helpers/VirtualFleet.ts
+++ b/packages/gateway/tests/helpers/VirtualFleet.ts
@@ -12,9 +12,9 @@
 } from '@jujubecroft/types';
 import { brand, createRandom } from '@jujubecroft/types';
 
-import { placeOnView } from '../../src/forward/placeOnView.js';
+import { placeWhenViewUsable } from '../../src/forward/placeWhenViewUsable.js';
 import type { GatewayContext } from '../../src/GatewayContext.js';
-import { createSync } from '../../src/state/createSync.js';
+import { createViewSync } from '../../src/state/createViewSync.js';
 import {
   createConfiguration,
   createReplica,
@@ -201,7 +201,7 @@
 
   async #start(instance: VirtualInstance): Promise<void> {
     const { name, process, context } = instance;
-    const { reader, peers } = createSync(
+    const { reader, peers } = createViewSync(
       context,
       {
         store: this.store.connect(instance),
@@ -303,10 +303,10 @@
       prompt: null,
       arrivedMs: this.time.nowMs,
       deadlineMs: this.time.nowMs + TIME_LIMIT_MS,
-      cameBack: false,
+      isCallerRetry: false,
       fingerprint: () => fingerprint,
     };
-    const decision = await placeOnView(context, request, new Set());
+    const decision = await placeWhenViewUsable(context, request, new Set());
     if (decision.kind === 'send') {
       const atMs = this.time.nowMs;
       const missedLeaveMs = this.store.leaves
@@ -335,7 +335,7 @@
       return answered;
     }
     const { router } = context;
-    const attempt = router.begin(request, placed, 1);
+    const attempt = router.beginAttempt(request, placed, 1);
     const result = await new Promise<AttemptResult>(settle => {
       if (this.#crashed.has(placed.load.replica.id)) {
         settle({ kind: 'unsent', reason: 'connection refused' });
--- a/packages/gateway/tests/state/ViewLease.test.ts
+++ b/packages/gateway/tests/state/ViewLease.test.ts
@@ -128,12 +128,12 @@
         () => () => Promise.resolve(false),
       );
       await time.run(TOO_OLD_MS);
-      board.othersAsOfMs = TOO_OLD_MS - 100;
+      board.peersAsOfMs = TOO_OLD_MS - 100;
       t.deepEqual(await obtain(), { state: 'behind', waitedMs: 0 });
       // By now, the other instance's view is outdated as well.
       await time.run(OBTAIN_MS);
       t.deepEqual(await obtain(), { state: 'usable', waitedMs: 0 });
-      board.othersAsOfMs = time.nowMs - 100;
+      board.peersAsOfMs = time.nowMs - 100;
       t.deepEqual(await obtain(), { state: 'behind', waitedMs: 0 });
       confirm();
       t.is((await obtain()).state, 'usable');
--- a/packages/gateway/tests/wakeUpWatch.test.ts
+++ b/packages/gateway/tests/wakeUpWatch.test.ts
@@ -1,6 +1,6 @@
 import { describe } from '@jujubecroft/testing';
 
-import { createWakeUpWatch } from '../src/wakeUpWatch.js';
+import { createSuspensionDetector } from '../src/wakeUpWatch.js';
 
 describe('createWakeUpWatch', ({ it }) => {
   it('reports the duration of a suspension once', t => {
@@ -9,7 +9,7 @@
     // it resumes.
     let steadyMs = 0;
     let dayMs = 100_000;
-    const takeSuspendedMs = createWakeUpWatch(
+    const takeSuspendedMs = createSuspensionDetector(
       () => steadyMs,
       () => dayMs,
     );
@@ -26,7 +26,7 @@
 
   it('ignores a time of day that is set back', t => {
     let dayMs = 100_000;
-    const takeSuspendedMs = createWakeUpWatch(
+    const takeSuspendedMs = createSuspensionDetector(
       () => 0,
       () => dayMs,
     );
@@ -40,7 +40,7 @@
     // throttled machines, a clock read from a file of the host keeps counting
     // while the clocks of the process do not.
     let steadyMs = 0;
-    const takeSuspendedMs = createWakeUpWatch(
+    const takeSuspendedMs = createSuspensionDetector(
       () => steadyMs,
       () => 100_000 + steadyMs,
     );
--- a/packages/instance/src/InstanceContext.ts
+++ b/packages/instance/src/InstanceContext.ts
@@ -2,7 +2,7 @@
 import type { ConfigurationStore } from '@jujubecroft/stores';
 import type { InstanceSettings } from '@jujubecroft/settings';
 
-import type { ClaimBook } from './claims/ClaimBook.js';
+import type { ClaimStore } from './claims/ClaimStore.js';
 import type { WriteBatcher } from './claims/WriteBatcher.js';
 import type { EventLog } from '@jujubecroft/events';
 import type { DecisionFeed } from './host/DecisionFeed.js';
@@ -23,7 +23,7 @@
   readonly membership: Membership;
   readonly store: ConfigurationStore;
   readonly sync: ConfigurationSync;
-  readonly claims: ClaimBook;
+  readonly claims: ClaimStore;
   /**
    * Writes claims of this instance and, if it is a collector, those of other
    * instances.
--- a/packages/instance/src/claims/ClaimBook.ts
+++ b/packages/instance/src/claims/ClaimStore.ts
@@ -59,7 +59,7 @@
  * matter which instances receive repeats of it. See
  * docs/design/at-most-once.md.
  */
-export class ClaimBook {
+export class ClaimStore {
   /** Possibly written claims of refused requests, to be released. */
   readonly #unconfirmed = new Set<UnconfirmedClaim>();
   #releaseTimer: NodeJS.Timeout | null = null;
--- a/packages/instance/src/host/RouterHost.ts
+++ b/packages/instance/src/host/RouterHost.ts
@@ -66,7 +66,7 @@
         refuse: (record, refusal) => {
           this.#refuse(record, refusal);
         },
-        isWatched: () => this.feed.isWatched,
+        needsCandidates: () => this.feed.isWatched,
         explain: event => {
           this.metrics.observe(event);
           this.feed.publish(event);
--- a/packages/instance/src/http/claimIdempotencyKey.ts
+++ b/packages/instance/src/http/claimIdempotencyKey.ts
@@ -2,7 +2,7 @@
 import type { RequestId } from '@jujubecroft/types';
 import { routerError } from '@jujubecroft/types';
 
-import type { StoredReply } from '../claims/ClaimBook.js';
+import type { StoredReply } from '../claims/ClaimStore.js';
 import type { InstanceContext } from '../InstanceContext.js';
 import type { Caller } from './identifyCaller.js';
 
--- a/packages/instance/src/index.ts
+++ b/packages/instance/src/index.ts
@@ -1,4 +1,4 @@
-export { ClaimBook } from './claims/ClaimBook.js';
+export { ClaimStore } from './claims/ClaimStore.js';
 export { ClaimCollectors } from './claims/ClaimCollectors.js';
 export { WriteBatcher } from './claims/WriteBatcher.js';
 export type { RunningInstance } from './startInstance.js';
--- a/packages/instance/src/startInstance.ts
+++ b/packages/instance/src/startInstance.ts
@@ -6,7 +6,7 @@
 import type { FailureDomainId, InstanceId } from '@jujubecroft/types';
 import { brand, createRandom } from '@jujubecroft/types';
 
-import { ClaimBook } from './claims/ClaimBook.js';
+import { ClaimStore } from './claims/ClaimStore.js';
 import { ClaimCollectors } from './claims/ClaimCollectors.js';
 import { WriteBatcher } from './claims/WriteBatcher.js';
 import { createPeerCredentials } from './control/createPeerCredentials.js';
@@ -105,7 +105,7 @@
   const batcher = new WriteBatcher(platform.table, () =>
     collectors.batchPauseMs(),
   );
-  const claims = new ClaimBook(
+  const claims = new ClaimStore(
     platform.table,
     write => collectors.write(write),
     () => Date.now(),
--- a/packages/instance/src/state/ConfigurationSync.ts
+++ b/packages/instance/src/state/ConfigurationSync.ts
@@ -116,7 +116,10 @@
   }
 
   async #loadFromPeers(): Promise<boolean> {
-    const members = this.membership.helpers(this.membership.self.instance, 3);
+    const members = this.membership.indirectProbers(
+      this.membership.self.instance,
+      3,
+    );
     const found = await Promise.all(
       members.map(member => this.#loadFromPeer(member).catch(() => false)),
     );
--- a/packages/instance/src/state/MembershipLoop.ts
+++ b/packages/instance/src/state/MembershipLoop.ts
@@ -1,5 +1,5 @@
 import type { Member, Membership, MemberState } from '@jujubecroft/decisions';
-import { MemberStateWatch } from '@jujubecroft/decisions';
+import { MemberStateTracker } from '@jujubecroft/decisions';
 import {
   fromHeartbeatMessage,
   toHeartbeatMessage,
@@ -35,7 +35,7 @@
   #timer: NodeJS.Timeout | null = null;
   #period = 0;
   #placedFleet = '';
-  readonly #stateWatch = new MemberStateWatch();
+  readonly #stateWatch = new MemberStateTracker();
 
   constructor(
     private readonly membership: Membership,
@@ -126,7 +126,7 @@
    * a member suspect.
    */
   async #probeIndirectly(member: Member): Promise<void> {
-    const helpers = this.membership.helpers(member.id, INDIRECT_PROBES);
+    const helpers = this.membership.indirectProbers(member.id, INDIRECT_PROBES);
     const probes = await Promise.all(
       helpers.map(helper =>
         this.peers
@@ -152,7 +152,7 @@
     }
     this.#placedFleet = key;
     const { instance, failureDomain } = self;
-    this.host.router.place({ instance, failureDomain, instances });
+    this.host.router.setPlacement({ instance, failureDomain, instances });
     this.peers.keepOnly(
       new Set(this.membership.members.map(({ peerAddress }) => peerAddress)),
     );
@@ -164,7 +164,7 @@
       const count = members.filter(member => member.state === state).length;
       this.metrics.members.set({ state }, count);
     });
-    this.#stateWatch.look(members).forEach(change => {
+    this.#stateWatch.detectChanges(members).forEach(change => {
       this.log.write('memberChanged', { ...change });
     });
   }
--- a/packages/instance/src/state/ShareLoop.ts
+++ b/packages/instance/src/state/ShareLoop.ts
@@ -83,7 +83,7 @@
     });
     this.#period += 1;
     if (this.#period % FORGET_INTERVAL_PERIODS === 0) {
-      this.#ledger.forget(clock());
+      this.#ledger.prune(clock());
     }
   }
 
--- a/packages/instance/tests/claims/ClaimBook.test.ts
+++ b/packages/instance/tests/claims/ClaimStore.test.ts
@@ -4,7 +4,7 @@
 import type { IdempotencyKey, OrganisationId } from '@jujubecroft/types';
 import { brand, isRouterError, routerError } from '@jujubecroft/types';
 
-import { ClaimBook, WriteBatcher } from '../../src/index.js';
+import { ClaimStore, WriteBatcher } from '../../src/index.js';
 
 const ORGANISATION = brand<OrganisationId>('org');
 const KEY = brand<IdempotencyKey>('key');
@@ -39,9 +39,9 @@
   }
 }
 
-function createClaimStore(table: TableStore, clock = () => 0): ClaimBook {
+function createClaimStore(table: TableStore, clock = () => 0): ClaimStore {
   const batcher = new WriteBatcher(table, () => 0);
-  return new ClaimBook(table, write => batcher.write(write), clock);
+  return new ClaimStore(table, write => batcher.write(write), clock);
 }
 
 async function outcomeOf(work: Promise<unknown>): Promise<string> {
@@ -156,7 +156,7 @@
       // release it.
       const table = new FaultyTable();
       const delayedWrites: (() => void)[] = [];
-      const book = new ClaimBook(
+      const book = new ClaimStore(
         table,
         write => {
           delayedWrites.push(() => {
