--- a/packages/types/src/RouterError.ts
+++ b/packages/types/src/RouterError.ts
@@ -3,12 +3,12 @@
 import type { Ran, ResultCode, ResultCodeId } from './resultCodes.js';
 import { RESULT_CODES } from './resultCodes.js';
 
-/** What an error carries beyond its code. */
+/** Properties of a numbered error. */
 export interface RouterErrorDetail {
   readonly code: ResultCodeId;
-  /** Overrides the catalogue value where more is known. */
+  /** Overrides the value in the catalogue where more is known. */
   readonly ran?: Ran;
-  /** Milliseconds after which a retry is useful; 0 when unknown. */
+  /** Milliseconds after which a retry makes sense; 0 when unknown. */
   readonly retryAfterMs?: number;
 }
 
@@ -17,21 +17,22 @@
   props: { code: 'internal', ran: 'maybe', retryAfterMs: 0 },
 });
 
-/** What every numbered error carries. */
+/** A numbered error with all its properties. */
 export interface RouterErrorInstance extends Error {
   readonly code: ResultCodeId;
   readonly ran: Ran;
-  /** Milliseconds after which a retry is useful; 0 when unknown. */
+  /** Milliseconds after which a retry makes sense; 0 when unknown. */
   readonly retryAfterMs: number;
 }
 
 /**
- * Builds a numbered error.
+ * Creates a numbered error.
  *
- * @param code - row of the result-code catalogue
- * @param message - what is wrong with this very call
- * @param detail - `ran` and `retryAfterMs` where they differ from the catalogue
- * @returns the error, not yet thrown
+ * @param code - key in the result-code catalogue
+ * @param message - what is wrong with this particular call
+ * @param detail - `ran` and `retryAfterMs` where they differ from the defaults,
+ *   and the error that caused this one
+ * @returns the error; the caller throws it
  */
 export function routerError(
   code: ResultCodeId,
@@ -48,9 +49,9 @@
 }
 
 /**
- * Whether anything thrown is a numbered error.
+ * Checks whether a caught value is a numbered error.
  *
- * @param err - whatever was caught
+ * @param err - the caught value
  * @returns true for errors made by `routerError`
  */
 export function isRouterError(err: unknown): err is RouterErrorInstance {
@@ -58,10 +59,11 @@
 }
 
 /**
- * Finds the numbered error in anything thrown.
+ * Converts a caught value to a numbered error.
  *
- * @param err - whatever was caught
- * @returns the error itself, or an `internal` error that wraps it
+ * @param err - the caught value
+ * @returns the value itself if it is a numbered error, else an `internal` error
+ *   with the value as its cause
  */
 export function toRouterError(err: unknown): RouterErrorInstance {
   if (isRouterError(err)) {
--- a/packages/types/src/brand.ts
+++ b/packages/types/src/brand.ts
@@ -1,4 +1,4 @@
-/** A primitive that carries a compile-time name, so that ids of different kinds cannot be mixed. */
+/** A primitive with a compile-time tag, so that ids of different kinds cannot be confused. */
 export type Brand<T, Name extends string> = T & { readonly __brand: Name };
 
 export type BackendServerId = Brand<string, 'BackendServerId'>;
@@ -10,18 +10,18 @@
 export type ModelId = Brand<string, 'ModelId'>;
 export type OrganisationId = Brand<string, 'OrganisationId'>;
 export type RequestId = Brand<string, 'RequestId'>;
-/** Same for requests of one caller with the same method, target and body. */
+/** Equal for requests of one caller with the same method, target and body. */
 export type RequestFingerprint = Brand<string, 'RequestFingerprint'>;
 export type RouteId = Brand<string, 'RouteId'>;
 export type ServiceId = Brand<string, 'ServiceId'>;
 
 /**
- * Gives a primitive its brand. Call it only where outside data enters.
+ * Casts a string to a branded type. Use it only where external data enters.
  *
- * @param value - the raw primitive, already validated
- * @returns the same value under its branded type
+ * @param value - the string, already validated
+ * @returns the same value with the branded type
  */
-// The caller names the brand; it cannot be inferred from a plain string.
+// The caller has to name the brand: it cannot be inferred from a plain string.
 // eslint-disable-next-line @typescript-eslint/no-unnecessary-type-parameters
 export function brand<B extends Brand<string, string>>(value: string): B {
   return value as B;
--- a/packages/types/src/decisionEvents.ts
+++ b/packages/types/src/decisionEvents.ts
@@ -7,7 +7,7 @@
 } from './brand.js';
 import type { ResultCodeId } from './resultCodes.js';
 
-/** Fields that every decision event carries. */
+/** Fields that all decision events have. */
 export interface DecisionBase {
   readonly atMs: number;
   readonly instance: InstanceId;
@@ -16,7 +16,7 @@
   readonly requestClass: ClassId;
 }
 
-/** A candidate replica and the numbers it was judged by. */
+/** A candidate backend server with the figures by which it was compared. */
 export interface CandidateView {
   readonly backendServer: BackendServerId;
   readonly score: number;
@@ -25,7 +25,7 @@
   readonly verdict: 'chosen' | 'full' | 'straggler' | 'unfit' | 'worse';
 }
 
-/** One decision with the numbers it was made from. */
+/** One decision with the figures it was based on. */
 export type Decision =
   | {
       readonly kind: 'admitted';
@@ -35,7 +35,7 @@
     }
   | {
       readonly kind: 'cancelled';
-      /** Null when the request was still queued. */
+      /** Null while the request was still queued. */
       readonly backendServer: BackendServerId | null;
       readonly reason: 'callerLeft' | 'migrated' | 'silent';
       readonly tokensDelivered: number;
@@ -71,7 +71,7 @@
       readonly backendServer: BackendServerId;
       readonly candidates: readonly CandidateView[];
       readonly queuedMs: number;
-      /** Sent because of the guaranteed share of its class, not its tier. */
+      /** Dispatched from the guaranteed share of its class, not by its tier. */
       readonly guaranteed: boolean;
     }
   | {
@@ -82,7 +82,7 @@
       readonly retryAfterMs: number;
     };
 
-/** A decision and the request it concerns. */
+/** A decision with the request that it concerns. */
 export interface DecisionEvent extends DecisionBase {
   readonly decision: Decision;
 }
--- a/packages/types/src/resultCodes.ts
+++ b/packages/types/src/resultCodes.ts
@@ -1,17 +1,18 @@
-/** Whether a request reached execution at a backend server. */
+/** Whether a backend server executed the request; `maybe` where that is unknown. */
 export type Ran = 'maybe' | 'no' | 'yes';
 
-/** One row of the result-code catalogue; docs/ERRORS.md mirrors it. */
+/** One row of the result-code catalogue, which docs/ERRORS.md lists as well. */
 export interface ResultCode {
+  /** Stable number by which callers and operators refer to the code. */
   readonly number: number;
   readonly httpStatus: number;
   readonly ran: Ran;
   readonly summary: string;
-  /** What the receiver of this code should do. */
+  /** What the recipient of the code should do. */
   readonly action: string;
 }
 
-/** Every result code; numbers are never reused. See docs/ERRORS.md. */
+/** All result codes. Numbers are never reused. See docs/ERRORS.md. */
 export const RESULT_CODES = {
   malformedBody: {
     number: 1001,
--- a/packages/types/src/routing.ts
+++ b/packages/types/src/routing.ts
@@ -7,85 +7,88 @@
 } from './brand.js';
 
 /**
- * What may be repeated when an attempt fails.
+ * Whether a failed attempt may be retried.
  *
- * `safe` requests may run any number of times, `unsafe` ones at most once per
- * request. `streaming` answers are event streams; they count as unsafe unless
- * their route is resumable.
+ * A `safe` request may be executed any number of times, an `unsafe` one at most
+ * once. `streaming` requests are answered with an event stream; they are treated
+ * as unsafe unless their route is resumable.
  */
 export type RouteKind = 'safe' | 'streaming' | 'unsafe';
 
-/** Part of a route's traffic that goes to one service. */
+/** A service's weight in the traffic split of a route. */
 export interface ServiceShare {
   readonly service: ServiceId;
   readonly weight: number;
 }
 
-/** A rule that sends requests of a host and path prefix to services. */
+/** A rule that maps requests by host and path prefix to services. */
 export interface Route {
   readonly id: RouteId;
   readonly host: string;
   readonly prefix: string;
   readonly kind: RouteKind;
-  /** Longest time that a caller is kept waiting, in milliseconds. */
+  /** Longest time until the caller gets an answer, in milliseconds. */
   readonly timeoutMs: number;
-  /** Target for the whole answer, or for the first event of a stream. */
+  /** Target for the complete answer, or for the first event of a stream. */
   readonly latencyTargetMs: number;
-  /** Target for the longest pause between events; 0 where there is none. */
+  /** Target for the longest pause between events of a stream; 0 for no target. */
   readonly gapTargetMs: number;
-  /** Rank of the traffic; 0 is served first. */
+  /** Priority of the traffic; 0 is served first. */
   readonly priority: number;
-  /** Backend servers that one request may be sent to, at most. */
+  /** Maximum number of backend servers to which one request is sent. */
   readonly maxAttempts: number;
-  /** Whether callers need no key. */
+  /** Whether requests are accepted without a key. */
   readonly isPublic: boolean;
-  /** Whether a stream may go on elsewhere after its last delivered event. */
+  /** Whether another server may resume a stream after the last delivered event. */
   readonly resumable: boolean;
   readonly shares: readonly ServiceShare[];
 }
 
-/** What is known of the engines behind a service of language models. */
+/** Capacity and features of the engines of a language-model service. */
 export interface EngineSpec {
+  /** Requests that one engine runs concurrently. */
   readonly slots: number;
+  /** Size of the key-value cache of one engine, in tokens. */
   readonly kvCapacityTokens: number;
-  /** Tokens in one event of a stream. */
+  /** Number of tokens per stream event. */
   readonly tokensPerEvent: number;
-  /** How engines copy their caches; null where they can't. */
+  /** Null where engines cannot copy cache content from each other. */
   readonly transfer: CacheTransfer | null;
 }
 
-/** How engines copy cached prompt parts from each other. */
+/** Cost of copying cached prompt parts from one engine to another. */
 export interface CacheTransfer {
   readonly bytesPerToken: number;
-  /** Speed of an engine's link, in megabits a second. */
+  /** Bandwidth of an engine's network link, in megabits per second. */
   readonly megabitsPerS: number;
 }
 
-/** A set of backend servers that are interchangeable. */
+/** A set of interchangeable backend servers. */
 export interface RoutedService {
   readonly id: ServiceId;
-  /** Connections that one backend server accepts from all instances together. */
+  /** Connections that one backend server accepts, summed over all instances. */
   readonly maxConnections: number;
   /** Null for a plain service. */
   readonly engine: EngineSpec | null;
-  /** Absent where replicas are not started and ended on order. */
+  /** Absent where the number of replicas is not scaled automatically. */
   readonly scaling?: ReplicaScaling;
 }
 
-/** How the replicas of a service may be ordered. */
+/** Limits and prices for scaling the replicas of a service. */
 export interface ReplicaScaling {
-  /** Bounds on the replicas in each failure domain, of both kinds together. */
+  /** Minimum number of replicas in each failure domain, spot and regular ones together. */
   readonly minReplicas: number;
+  /** Maximum number of replicas in each failure domain, spot and regular ones together. */
   readonly maxReplicas: number;
-  /** Time until a new replica serves, in milliseconds. */
+  /** Time from the order until a new replica serves requests, in milliseconds. */
   readonly bootMs: number;
-  /** Price of one that may be reclaimed, against one that may not; null for none. */
+  /** Price of a spot replica relative to a regular one; null where there are no spot replicas. */
   readonly spotPrice: number | null;
-  /** Price of a replica by failure domain; only there are any to be had. */
+  /** Price of a replica by failure domain; others offer no replicas. */
   readonly domainPrices: Readonly<Record<FailureDomainId, number>>;
 }
 
-/** Bounds on what a caller may send. */
+/** Limits on what callers may send. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -98,54 +101,54 @@
 export interface RoutedOrganisation {
   readonly id: OrganisationId;
   readonly keys: readonly string[];
-  /** Goes before the priority of the route; null where it has none. */
+  /** Orders requests of routes that have the same priority; null where the organisation has none. */
   readonly priority: number | null;
 }
 
-/** Everything that operators declare about routing, at one version. */
+/** The routing configuration that operators declare, at one version. */
 export interface RoutingConfiguration {
-  /** Grows with each change, not always by one. */
+  /** Increases with each change, not necessarily by one. */
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly RoutedService[];
   readonly limits: CallerLimits;
-  /** Null where callers need no key at all. */
+  /** Null where no caller needs a key. */
   readonly organisations: readonly RoutedOrganisation[] | null;
 }
 
-/** One run of a backend server, as it announces itself. */
+/** One run of a backend server, as the server registers itself. */
 export interface Replica {
   readonly id: BackendServerId;
   readonly service: ServiceId;
-  /** Host and port, an IP address. */
+  /** IP address and port. */
   readonly address: string;
   readonly failureDomain: FailureDomainId;
   readonly slots: number;
-  /** A leaving replica gets no new requests. */
+  /** Whether the replica is shutting down: it gets no new requests. */
   readonly leaving: boolean;
-  /** How much longer the replica is slow after its start, in milliseconds. */
+  /** Remaining warm-up time, in which the replica is slower, in milliseconds. */
   readonly coldMs: number;
   /**
-   * When this run started, in Unix milliseconds; null where the entry doesn't
-   * say. A server that starts again under its old id has a later one.
+   * When this run started, in Unix milliseconds; null where the entry does not
+   * say. It distinguishes the runs of a server that restarts under the same id.
    */
   readonly bornMs: number | null;
-  /** Whether it may be reclaimed at any time; absent means no. */
+  /** Whether the platform may reclaim the replica at any time; absent means no. */
   readonly spot?: boolean;
 }
 
-/** One part of a prompt; requests with equal leading parts share cache. */
+/** One part of a prompt. Requests with the same leading parts can share cached tokens. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** What the head of a request says about its prompt. */
+/** What the headers of a request state about its prompt. */
 export interface PromptFacts {
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
-  /** Leading parts first; the last one belongs to the request or its session. */
+  /** From the first part of the prompt on; the last is specific to the request or its session. */
   readonly parts: readonly PromptPart[];
-  /** Caller's guess of the answer's length in tokens; null where not given. */
+  /** The caller's estimate of the answer's length, in tokens; null where absent. */
   readonly expectedOutputTokens: number | null;
 }
--- a/packages/types/src/util/createRandom.ts
+++ b/packages/types/src/util/createRandom.ts
@@ -2,10 +2,10 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 /**
- * Creates a seeded source of uniform numbers.
+ * Creates a seeded generator of uniformly distributed numbers.
  *
- * @param seed - equal seeds give equal sequences
- * @returns a function that draws from [0, 1)
+ * @param seed - equal seeds produce equal sequences
+ * @returns a function that returns the next number in [0, 1)
  */
 export function createRandom(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
--- a/packages/types/src/util/groupBy.ts
+++ b/packages/types/src/util/groupBy.ts
@@ -1,9 +1,10 @@
 /**
- * Groups items by a key, in the order in which they come.
+ * Groups items by a key. Groups keep the order of the items, and the map lists
+ * its keys in the order of their first item.
  *
- * @param items - to group
- * @param keyOf - tells the key of an item
- * @returns a group for each key, never an empty one
+ * @param items - the items to group
+ * @param keyOf - returns the key of an item
+ * @returns the groups by key; no group is empty
  */
 export function groupBy<T>(
   items: readonly T[],
--- a/packages/types/tests/util/groupBy.test.ts
+++ b/packages/types/tests/util/groupBy.test.ts
@@ -3,7 +3,7 @@
 import { groupBy } from '../../src/index.js';
 
 describe('groupBy', ({ it }) => {
-  it('keeps the order of items and of the first of each key', t => {
+  it('keeps the order of the items and of the first item of each key', t => {
     const groups = groupBy(['pear', 'apple', 'plum'], ([first = '']) => first);
     t.deepEqual(
       [...groups],
@@ -14,7 +14,7 @@
     );
   });
 
-  it('makes no group of nothing', t => {
+  it('returns no groups for an empty list', t => {
     t.is(groupBy([], String).size, 0);
   });
 });
