--- a/packages/events/src/EventLog.ts
+++ b/packages/events/src/EventLog.ts
@@ -4,10 +4,10 @@
 import { LOG_EVENTS } from './logEvents.js';
 
 /**
- * What a line tells beside what every line has.
+ * Fields of a line beyond those that every line has.
  *
- * Those names are taken: a field `id` would replace the event's, and nobody who
- * looks for the event would find the line.
+ * The names of the common fields are reserved: a field `id` would replace the id of
+ * the event, and a search for the event would miss the line.
  */
 export type EventFields = Readonly<Record<string, unknown>> & {
   readonly atMs?: never;
@@ -23,6 +23,7 @@
   readonly write: (id: LogEventId, fields: EventFields) => void;
 }
 
+/** Numbers of the log levels in tslog. */
 export const MIN_LEVEL: Readonly<Record<LogLevel, number>> = {
   debug: 2,
   info: 3,
@@ -31,10 +32,10 @@
 };
 
 /**
- * Creates a log that writes one JSON object a line.
+ * Creates a log that writes one JSON object per line.
  *
- * @param instance - name that every line carries
- * @param level - events below it are left out
+ * @param instance - name of the instance, which every line carries
+ * @param level - events below this level are left out
  * @returns the log
  */
 export function createEventLog(instance: string, level: LogLevel): EventLog {
@@ -51,5 +52,5 @@
   };
 }
 
-/** A log that writes nothing, for embedded use. */
+/** A log that discards all events. */
 export const SILENT_LOG: EventLog = { write: () => undefined };
--- a/packages/events/src/LineWriter.ts
+++ b/packages/events/src/LineWriter.ts
@@ -1,19 +1,19 @@
 import { write } from 'node:fs';
 
-/** Bytes that may wait for a slow reader; about a second of the busiest log. */
-const MAX_WAITING_BYTES = 512 * 1024;
+/** Bytes buffered for a slow reader; about one second of the busiest log. */
+const MAX_BUFFERED_BYTES = 512 * 1024;
 
-/** Writes bytes somewhere without blocking; calls back when done. */
+/** Writes bytes without blocking and calls back once they are written or the write failed. */
 export type WriteBytes = (
   bytes: Buffer,
   done: (err: Error | null) => void,
 ) => void;
 
 /**
- * Writes to standard output on a worker thread.
+ * Writes to standard output from the thread pool of Node.js.
  *
- * @param bytes - what to write
- * @param done - called when it was written, or failed
+ * @param bytes - the bytes to write
+ * @param done - called when all bytes are written, or with the error
  */
 export const writeToStdout: WriteBytes = (bytes, done) => {
   write(1, bytes, 0, bytes.length, null, (err, written) => {
@@ -26,51 +26,50 @@
 };
 
 /**
- * Hands lines to a reader that may be slow or gone.
+ * Writes lines to a reader that may be slow or gone.
  *
- * Guards against a full pipe: Node.js writes to pipes synchronously, so a stalled
- * reader of standard output would stop every request. Here one write is under
- * way at a time, off the main thread, and lines beyond the bound are counted
- * instead of kept.
+ * Node.js writes to pipes synchronously, so a stalled reader of standard output
+ * would block every request. This class instead performs one write at a time off
+ * the main thread, buffers a bounded amount, and drops and counts further lines.
  */
 export class LineWriter {
-  #waiting: string[] = [];
-  #waitingBytes = 0;
+  #buffered: string[] = [];
+  #bufferedBytes = 0;
   #isWriting = false;
   #dropped = 0;
 
   constructor(private readonly writeBytes: WriteBytes = writeToStdout) {}
 
-  /** Lines that were dropped since the last call. */
+  /** @returns the number of lines dropped since the last call */
   takeDropped(): number {
     const dropped = this.#dropped;
     this.#dropped = 0;
     return dropped;
   }
 
-  /** Takes a line without its end; drops it when the reader is too far behind. */
+  /** Queues a line, given without its line break; drops it when the buffer is full. */
   write(line: string): void {
-    if (this.#waitingBytes + line.length > MAX_WAITING_BYTES) {
+    if (this.#bufferedBytes + line.length > MAX_BUFFERED_BYTES) {
       this.#dropped += 1;
       return;
     }
-    this.#waiting.push(line);
-    this.#waitingBytes += line.length;
+    this.#buffered.push(line);
+    this.#bufferedBytes += line.length;
     if (!this.#isWriting) {
       this.#flush();
     }
   }
 
   #flush(): void {
-    if (this.#waiting.length === 0) {
+    if (this.#buffered.length === 0) {
       return;
     }
-    const bytes = Buffer.from(`${this.#waiting.join('\n')}\n`);
-    this.#waiting = [];
-    this.#waitingBytes = 0;
+    const bytes = Buffer.from(`${this.#buffered.join('\n')}\n`);
+    this.#buffered = [];
+    this.#bufferedBytes = 0;
     this.#isWriting = true;
     this.writeBytes(bytes, () => {
-      // A reader that is gone loses lines; nothing else depends on them.
+      // Errors are ignored: nothing but the reader of the log depends on its lines.
       this.#isWriting = false;
       this.#flush();
     });
--- a/packages/events/src/createBoundedLog.ts
+++ b/packages/events/src/createBoundedLog.ts
@@ -6,21 +6,24 @@
 import type { LogEvent, LogEventId, LogLevel } from './logEvents.js';
 import { LOG_EVENTS } from './logEvents.js';
 
-/** How a bounded log is made. */
+/** Options of a bounded log. */
 export interface EventLogOptions {
+  /** Name of the instance, which every line carries. */
   readonly instance: string;
+  /** Events below this level are left out. */
   readonly level: LogLevel;
-  /** Steady clock in milliseconds. */
+  /** Monotonic clock, in milliseconds. */
   readonly clock: () => number;
+  /** Where lines go; standard output by default. */
   readonly writer?: LineWriter;
 }
 
 /**
- * Lines of one event per second; above it lines are counted by cause.
+ * Lines per second and event; further lines are only counted, by cause.
  *
- * A busy instance of the fleets of today takes some 20 requests a second.
- * Successes are sampled above five times that; warnings, which on-call engineers
- * look for one by one, are told whole up to fifteen times.
+ * A busy instance handles about 20 requests per second. Successes are sampled above
+ * five times that rate; warnings, which on-call engineers look up one by one, are
+ * written in full up to fifteen times that rate.
  */
 const MAX_LINES_PER_S: Readonly<Record<LogLevel, number>> = {
   debug: 100,
@@ -28,20 +31,22 @@
   warn: 300,
   error: 300,
 };
-/** Causes that are counted apart; the rest counts as one. */
+/** Causes per event that are counted separately; the others are counted together. */
 const MAX_CAUSES = 20;
 const OTHER_CAUSES = 'other';
 const SECOND_MS = 1000;
 
+/** Lines of one event in the current second. */
 interface EventCount {
+  /** Start of the second, on the monotonic clock. */
   readonly sinceMs: number;
   lines: number;
-  left: number;
-  /** Lines left out by what caused them. */
-  readonly leftByCause: Map<string, number>;
+  omitted: number;
+  /** Omitted lines by the cause that they state. */
+  readonly omittedByCause: Map<string, number>;
 }
 
-/** What a line says of its cause, whatever the event calls it. */
+/** @returns the cause that a line states; the field for it differs by event */
 function causeOf(fields: Readonly<Record<string, unknown>>): string {
   const cause = fields.code ?? fields.reason ?? fields.kind ?? fields.status;
   return typeof cause === 'string' || typeof cause === 'number'
@@ -49,25 +54,26 @@
     : OTHER_CAUSES;
 }
 
-function leaveOut(
+function countOmitted(
   count: EventCount,
   fields: Readonly<Record<string, unknown>>,
 ): void {
-  const { leftByCause } = count;
+  const { omittedByCause } = count;
   const cause = causeOf(fields);
-  const isKnown = leftByCause.has(cause) || leftByCause.size < MAX_CAUSES;
+  const isKnown = omittedByCause.has(cause) || omittedByCause.size < MAX_CAUSES;
   const key = isKnown ? cause : OTHER_CAUSES;
-  count.left += 1;
-  leftByCause.set(key, (leftByCause.get(key) ?? 0) + 1);
+  count.omitted += 1;
+  omittedByCause.set(key, (omittedByCause.get(key) ?? 0) + 1);
 }
 
 /**
- * Creates a log whose volume is bounded and which never waits for its reader.
+ * Creates a log with bounded volume that never waits for its reader.
  *
- * Each event has a bound of lines a second. What goes beyond it, or beyond what
- * the reader takes, is told by one line with the counts by cause.
+ * Each event has a limit of lines per second. Lines above the limit, and lines that
+ * the reader was too slow for, are reported by a `linesLeftOut` event with the
+ * numbers by cause.
  *
- * @param options - name, level and clock
+ * @param options - name of the instance, level, clock and writer
  * @returns the log
  */
 export function createBoundedLog(options: EventLogOptions): EventLog {
@@ -75,7 +81,7 @@
   const logger = new Logger<object>({
     type: 'hidden',
     minLevel: MIN_LEVEL[level],
-    // Finding the calling line would take a stack trace for each log line.
+    // Capturing the call site would cost a stack trace for each line.
     stack: { capture: 'off' },
   });
   logger.attachTransport(({ _logMeta, ...fields }) => {
@@ -104,19 +110,19 @@
       return known;
     }
     const dropped = writer.takeDropped();
-    if ((known?.left ?? 0) > 0 || dropped > 0) {
+    if ((known?.omitted ?? 0) > 0 || dropped > 0) {
       emit('linesLeftOut', {
         of: id,
-        left: known?.left ?? 0,
-        causes: Object.fromEntries(known?.leftByCause ?? []),
+        left: known?.omitted ?? 0,
+        causes: Object.fromEntries(known?.omittedByCause ?? []),
         dropped,
       });
     }
     const fresh: EventCount = {
       sinceMs: nowMs,
       lines: 0,
-      left: 0,
-      leftByCause: new Map(),
+      omitted: 0,
+      omittedByCause: new Map(),
     };
     counts.set(id, fresh);
     return fresh;
@@ -126,7 +132,7 @@
     write: (id, fields) => {
       const count = countOf(id);
       if (count.lines >= MAX_LINES_PER_S[LOG_EVENTS[id].level]) {
-        leaveOut(count, fields);
+        countOmitted(count, fields);
         return;
       }
       count.lines += 1;
--- a/packages/events/src/explainRequest.ts
+++ b/packages/events/src/explainRequest.ts
@@ -1,10 +1,10 @@
 import type { ParsedLine } from './readLogLines.js';
 
-/** The story of one request, as its log lines tell it. */
-export interface RequestStory {
-  /** One sentence for each line, in order. */
+/** What happened to one request, according to its log lines. */
+export interface RequestExplanation {
+  /** One sentence for each log line, in chronological order. */
   readonly steps: readonly string[];
-  /** Why the request ended as it did, in one sentence. */
+  /** Why the request ended as it did, in one clause. */
   readonly cause: string;
 }
 
@@ -17,36 +17,37 @@
   'requestRefused',
 ];
 
-function show(value: unknown): string {
+function formatValue(value: unknown): string {
   return typeof value === 'string' || typeof value === 'number'
     ? String(value)
     : JSON.stringify(value ?? null);
 }
 
-/** What sets a placed request apart from others at its replica. */
-function orderOf({ deferred, fetchFrom }: Fields): string {
-  const behind = deferred === true ? '; late anyway, so behind the others' : '';
+/** Describes a deferral and a cache copy of an attempt; empty where there are none. */
+function describePlacement({ deferred, fetchFrom }: Fields): string {
+  const deferral =
+    deferred === true ? '; late anyway, so behind the others' : '';
   const copies =
     fetchFrom === undefined
       ? ''
-      : `; copies cached parts of ${show(fetchFrom)}`;
-  return `${behind}${copies}`;
+      : `; copies cached parts of ${formatValue(fetchFrom)}`;
+  return `${deferral}${copies}`;
 }
 
-/** How each kind of line reads; others are shown with all their fields. */
+/** Sentence for each kind of line; other kinds are shown with all their fields. */
 const SENTENCES: Readonly<Record<string, (fields: Fields) => string>> = {
   requestPlaced: f =>
-    `attempt ${show(f.attempt)} goes to ${show(f.backendServer)} at rank ${show(f.rank)}, the best of ${show(f.candidates)}: first byte expected after ${show(f.predictedMs)} ms with ${show(f.tokensAhead)} prompt tokens ahead and ${show(f.inFlight)} requests there; replicas as of version ${show(f.replicasVersion)}, ${show(f.replicasAgeMs)} ms old, configuration ${show(f.configuration)}; ${show(f.leftMs)} ms left${orderOf(f)}`,
+    `attempt ${formatValue(f.attempt)} is sent to ${formatValue(f.backendServer)} at rank ${formatValue(f.rank)}, the best of ${formatValue(f.candidates)} candidates: first byte expected after ${formatValue(f.predictedMs)} ms with ${formatValue(f.tokensAhead)} prompt tokens ahead and ${formatValue(f.inFlight)} requests there; replicas as of version ${formatValue(f.replicasVersion)}, ${formatValue(f.replicasAgeMs)} ms old, configuration ${formatValue(f.configuration)}; ${formatValue(f.leftMs)} ms left${describePlacement(f)}`,
   attemptFailed: f =>
-    `the attempt ends: ${show(f.result)} (${show(f.reason ?? f.status)}); next: ${show(f.next)}; sent ${show(f.sent)} times, repeats left in the budget ${show(f.budgetLeft)}, idempotent ${show(f.idempotent)}`,
+    `the attempt ends: ${formatValue(f.result)} (${formatValue(f.reason ?? f.status)}); next: ${formatValue(f.next)}; sent ${formatValue(f.sent)} times, retries left in the budget: ${formatValue(f.budgetLeft)}, idempotent ${formatValue(f.idempotent)}`,
   requestAnswered: f =>
-    `answered with ${show(f.status)} after ${show(f.wholeMs)} ms, first byte after ${show(f.firstMs)} ms against a target of ${show(f.targetMs)} ms`,
+    `answered with ${formatValue(f.status)} after ${formatValue(f.wholeMs)} ms, first byte after ${formatValue(f.firstMs)} ms against a target of ${formatValue(f.targetMs)} ms`,
   requestRefused: f =>
-    `refused as ${show(f.code)} after ${show(f.afterMs)} ms: first byte predicted after ${show(f.predictedMs)} ms, allowed ${show(f.allowedMs)} ms; end predicted after ${show(f.predictedWholeMs)} ms, allowed ${show(f.allowedWholeMs)} ms; ${show(f.tokensAhead)} prompt tokens ahead, ${show(f.lessUrgentTokens)} of less urgent requests of this instance; ${show(f.candidates)} candidates; told to come back after ${show(f.retryAfterMs)} ms`,
+    `refused as ${formatValue(f.code)} after ${formatValue(f.afterMs)} ms: first byte predicted after ${formatValue(f.predictedMs)} ms, allowed ${formatValue(f.allowedMs)} ms; complete answer predicted after ${formatValue(f.predictedWholeMs)} ms, allowed ${formatValue(f.allowedWholeMs)} ms; ${formatValue(f.tokensAhead)} prompt tokens ahead, ${formatValue(f.lessUrgentTokens)} unread ones of less urgent requests of this instance; ${formatValue(f.candidates)} candidates; the caller may retry after ${formatValue(f.retryAfterMs)} ms`,
   requestCut: f =>
-    `ended as ${show(f.code)} after ${show(f.afterMs)} ms and ${show(f.attempts)} attempts; the caller ${f.started === true ? 'had the beginning of an answer' : 'had nothing yet'}`,
+    `ended as ${formatValue(f.code)} after ${formatValue(f.afterMs)} ms and ${formatValue(f.attempts)} attempts; the caller ${f.started === true ? 'had received the beginning of an answer' : 'had received nothing'}`,
   callerLeft: f =>
-    `the caller closed its connection after ${show(f.afterMs)} ms`,
+    `the caller closed its connection after ${formatValue(f.afterMs)} ms`,
 };
 
 function sentenceOf(line: ParsedLine): string {
@@ -57,8 +58,8 @@
   return `${line.time} ${line.instance}: ${text}`;
 }
 
-/** What became of the instance after its last word on the request. */
-function fateOf(
+/** Describes a crash or stop of the instance that wrote the last line of the request, if there was one. */
+function describeInstanceEnd(
   last: ParsedLine,
   lines: readonly ParsedLine[],
 ): string | undefined {
@@ -72,25 +73,25 @@
     return `${last.instance} ended without a word while the request ran, and started again at ${next.time}`;
   }
   if (next) {
-    return `${last.instance} reached the end of its time to stop while the request ran`;
+    return `${last.instance} stopped at the end of its grace period while the request ran`;
   }
   return undefined;
 }
 
-function causeOfFailure(failed: ParsedLine): string {
+function describeFailure(failed: ParsedLine): string {
   const { result, reason, status, idempotent } = failed.fields;
-  const what = show(reason ?? status);
+  const what = formatValue(reason ?? status);
   switch (result) {
     case 'failed':
-      return `the backend server answered with a failure of its own (${what})`;
+      return `the backend server answered with an error of its own (${what})`;
     case 'notRun':
-      return `the backend server said that it did not run the request (${what})`;
+      return `the backend server stated that it did not run the request (${what})`;
     case 'unsent':
-      return `no connection to the backend server (${what})`;
+      return `no connection to the backend server could be opened (${what})`;
     case 'withdrawn':
       return reason === 'timeLimit'
         ? 'the backend server did not finish within the time limit'
-        : `this instance gave the attempt up (${what})`;
+        : `this instance gave up the attempt (${what})`;
     default:
       return `the answer was lost after the request was sent (${what})${idempotent === false ? '; it may have run and may not run twice' : ''}`;
   }
@@ -106,34 +107,36 @@
   }
   const end = own.findLast(({ id }) => END_EVENTS.includes(id));
   if (!end) {
-    return fateOf(last, lines) ?? 'the request had not ended when the log did';
+    return (
+      describeInstanceEnd(last, lines) ?? 'the logs end before the request does'
+    );
   }
   const failed = own.findLast(({ id }) => id === 'attemptFailed');
   switch (end.id) {
     case 'requestAnswered':
       return 'it was answered';
     case 'callerLeft':
-      return 'the caller left before the answer ended';
+      return 'the caller closed its connection before the answer ended';
     case 'requestRefused':
       return failed
-        ? causeOfFailure(failed)
-        : `it was refused and did not run: ${show(end.fields.code)}`;
+        ? describeFailure(failed)
+        : `it was refused and did not run: ${formatValue(end.fields.code)}`;
     default:
-      return failed ? causeOfFailure(failed) : show(end.fields.code);
+      return failed ? describeFailure(failed) : formatValue(end.fields.code);
   }
 }
 
 /**
- * Tells the story of one request from the logs of any number of instances.
+ * Explains what happened to one request from the logs of any number of instances.
  *
  * @param lines - parsed log lines
  * @param request - id of the request
- * @returns its steps in order, and why it ended as it did
+ * @returns the steps of the request in order, and why it ended as it did
  */
 export function explainRequest(
   lines: readonly ParsedLine[],
   request: string,
-): RequestStory {
+): RequestExplanation {
   const own = lines
     .filter(({ fields }) => fields.request === request)
     .sort((a, b) =>
--- a/packages/events/src/index.ts
+++ b/packages/events/src/index.ts
@@ -5,7 +5,7 @@
 export { LineWriter } from './LineWriter.js';
 export type { LogEvent, LogEventId, LogLevel } from './logEvents.js';
 export { LOG_EVENTS } from './logEvents.js';
-export type { RequestStory } from './explainRequest.js';
+export type { RequestExplanation } from './explainRequest.js';
 export { explainRequest } from './explainRequest.js';
 export type { ParsedLine } from './readLogLines.js';
 export { readLogLines } from './readLogLines.js';
--- a/packages/events/src/logEvents.ts
+++ b/packages/events/src/logEvents.ts
@@ -1,14 +1,15 @@
-/** How loud an event is. */
+/** Severity of an event. */
 export type LogLevel = 'debug' | 'error' | 'info' | 'warn';
 
-/** One row of the event catalogue; docs/EVENTS.md mirrors it. */
+/** One row of the event catalogue, which docs/EVENTS.md lists as well. */
 export interface LogEvent {
+  /** Stable number by which log searches find the event. */
   readonly number: number;
   readonly level: LogLevel;
   readonly summary: string;
 }
 
-/** Every logged event; numbers are never reused. See docs/EVENTS.md. */
+/** All logged events. Numbers are never reused. See docs/EVENTS.md. */
 export const LOG_EVENTS = {
   instanceStarted: {
     number: 101,
@@ -18,43 +19,45 @@
   instanceStopping: {
     number: 102,
     level: 'info',
-    summary: 'A stop was asked for; requests in flight are finished first.',
+    summary: 'A stop was requested; requests in flight are finished first.',
   },
   instanceStopped: {
     number: 103,
     level: 'info',
-    summary: 'The last request ended and the instance is down.',
+    summary: 'The last request has ended and the instance has stopped.',
   },
   gatewayReady: {
     number: 104,
     level: 'info',
-    summary: 'The gateway takes callers.',
+    summary: 'The gateway accepts callers.',
   },
   settingsReloaded: {
     number: 105,
     level: 'info',
-    summary: 'The settings file was read again.',
+    summary: 'The settings file was reloaded.',
   },
   settingsRefused: {
     number: 106,
     level: 'error',
     summary:
-      'The settings file has faults; the earlier settings stay in force.',
+      'The settings file is invalid; the previous settings stay in force.',
   },
   wokeUp: {
     number: 107,
     level: 'warn',
-    summary: 'The process stood still for a while; its view is read anew.',
+    summary:
+      'The process was suspended for a while; it reloads its view of the fleet.',
   },
   configurationInForce: {
     number: 201,
     level: 'info',
-    summary: 'A later configuration revision is in force.',
+    summary: 'A newer configuration revision is in force.',
   },
   configurationSource: {
     number: 202,
     level: 'warn',
-    summary: 'The table did not answer; peers or the snapshot stood in.',
+    summary:
+      'The table did not answer; the configuration came from a peer or the snapshot.',
   },
   changeAccepted: {
     number: 203,
@@ -85,24 +88,25 @@
     number: 303,
     level: 'info',
     summary:
-      'A backend server was added, changed, started again, is leaving or is gone.',
+      'A backend server was added, changed, restarted or removed, or is leaving.',
   },
   backendAvoided: {
     number: 304,
     level: 'warn',
     summary:
-      'This instance begins or ceases to give a backend server probes only.',
+      'This instance starts or stops sending only probe requests to a backend server.',
   },
   entryUnreadable: {
     number: 305,
     level: 'error',
-    summary: 'The entry of a backend server could not be read; it is not used.',
+    summary:
+      'The store entry of a backend server is invalid; the server is not used.',
   },
   replicaLimited: {
     number: 306,
     level: 'info',
     summary:
-      'A backend server names or changes the requests a second that it takes, or takes any number again.',
+      'A backend server announced, changed or lifted its limit on requests per second.',
   },
   memberChanged: {
     number: 401,
@@ -113,12 +117,12 @@
     number: 402,
     level: 'warn',
     summary:
-      'Another instance that knows more could not be asked for it; the next that tells is.',
+      'Newer state could not be fetched from another instance; the next one that announces it is asked.',
   },
   requestFailed: {
     number: 501,
     level: 'warn',
-    summary: 'An accepted request ended in a refusal.',
+    summary: 'An accepted request was refused later.',
   },
   requestPlaced: {
     number: 502,
@@ -129,12 +133,12 @@
     number: 503,
     level: 'warn',
     summary:
-      'An attempt gave no answer for the caller; the next step stands beside it.',
+      'An attempt gave no answer for the caller; the field next names the step that follows.',
   },
   requestAnswered: {
     number: 504,
     level: 'info',
-    summary: 'A request got its whole answer.',
+    summary: 'A request was answered completely.',
   },
   requestRefused: {
     number: 505,
@@ -144,7 +148,7 @@
   requestCut: {
     number: 506,
     level: 'warn',
-    summary: 'A request ended without a whole answer after it was sent.',
+    summary: 'A request ended without a complete answer after it was sent.',
   },
   callerLeft: {
     number: 507,
@@ -155,33 +159,35 @@
     number: 508,
     level: 'warn',
     summary:
-      'Requests with this fingerprint crashed several backend servers and are no longer sent, or may be again.',
+      'Requests with this fingerprint are barred since they crashed several backend servers, or allowed again.',
   },
   linesLeftOut: {
     number: 902,
     level: 'warn',
     summary:
-      'Log lines beyond the bound of their event were counted instead of written.',
+      'Log lines above the rate limit of their event were counted instead of written.',
   },
   dutiesTaken: {
     number: 601,
     level: 'info',
-    summary: 'This instance holds the duties that one does for all.',
+    summary: 'This instance holds the lease for the duties of the fleet.',
   },
   dutiesLost: {
     number: 602,
     level: 'info',
-    summary: 'This instance holds the duties no longer.',
+    summary:
+      'This instance no longer holds the lease for the duties of the fleet.',
   },
   holdingFailed: {
     number: 603,
     level: 'warn',
-    summary: 'The store did not answer a call about who holds the duties.',
+    summary:
+      'The store did not answer a call about the lease for the duties of the fleet.',
   },
   usageDecided: {
     number: 604,
     level: 'info',
-    summary: 'The usage of a window of time is counted for good.',
+    summary: 'The usage count of a time window is final.',
   },
   usageReported: {
     number: 605,
@@ -192,28 +198,28 @@
     number: 606,
     level: 'info',
     summary:
-      'Replicas of a service are to be ordered or given back; need and what stands are beside it.',
+      'Replicas of a service are to be ordered or released; the fields state the need and the present number.',
   },
   replicasOrdered: {
     number: 607,
     level: 'info',
-    summary: 'The platform answered an order of replicas.',
+    summary: 'The platform answered an order for replicas.',
   },
   dutyCallFailed: {
     number: 608,
     level: 'warn',
     summary:
-      'The platform did not answer a call that one instance makes for all.',
+      'The platform did not answer a call of the instance that holds the duties.',
   },
   dutiesUnknown: {
     number: 609,
     level: 'warn',
-    summary: 'The settings name duties that this system does not know.',
+    summary: 'The settings name unknown duties.',
   },
   unexpectedError: {
     number: 901,
     level: 'error',
-    summary: 'An error that no code foresaw.',
+    summary: 'An unexpected error.',
   },
 } as const satisfies Readonly<Record<string, LogEvent>>;
 
--- a/packages/events/src/readLogLines.ts
+++ b/packages/events/src/readLogLines.ts
@@ -1,16 +1,17 @@
-/** A log line of any instance, parsed. */
+/** A parsed log line. */
 export interface ParsedLine {
   readonly id: string;
   readonly instance: string;
-  /** Wall time as written. */
+  /** Wall-clock time in ISO 8601, as written; empty where the line has none. */
   readonly time: string;
-  /** Steady clock of the instance, in milliseconds. */
+  /** Monotonic clock of the instance, in milliseconds; 0 where the line has none. */
   readonly atMs: number;
+  /** All fields of the line, these included. */
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
 function parse(text: string): ParsedLine | null {
-  // A collector may put its own words before the object.
+  // Log collectors may prefix the JSON object.
   const start = text.indexOf('{');
   if (start === -1) {
     return null;
@@ -28,16 +29,16 @@
         }
       : null;
   } catch {
-    // Not one of ours; logs hold lines of other programs too.
+    // Logs also hold lines of other programs.
     return null;
   }
 }
 
 /**
- * Reads log lines of any number of instances.
+ * Parses the log lines of any number of instances.
  *
- * @param text - lines in any order, with others among them
- * @returns the lines that this program wrote, as they stood
+ * @param text - lines in any order; lines of other programs are skipped
+ * @returns the parsed lines, in the order of the text
  */
 export function readLogLines(text: string): readonly ParsedLine[] {
   return text.split('\n').flatMap(line => parse(line) ?? []);
--- a/packages/events/src/requestLines.ts
+++ b/packages/events/src/requestLines.ts
@@ -2,11 +2,13 @@
 
 import type { ParsedLine } from './readLogLines.js';
 
-/** All lines of one request. */
+/** The log lines of one request that summaries are made from. */
 export interface RequestLines {
   readonly first: ParsedLine;
+  /** The first line about an attempt. */
   readonly placed: ParsedLine | undefined;
   readonly answered: ParsedLine | undefined;
+  /** The line about an end without a complete answer. */
   readonly end: ParsedLine | undefined;
 }
 
@@ -16,13 +18,13 @@
   'requestRefused',
 ];
 
-/** @returns a number of a line; 0 where it has none of that name */
+/** @returns the number in a field of a line; 0 where the field is missing */
 export function numberOf(line: ParsedLine | undefined, field: string): number {
   const value = line?.fields[field];
   return typeof value === 'number' ? value : 0;
 }
 
-/** @returns a text of a line; empty where it has none of that name */
+/** @returns the text in a field of a line; empty where the field is missing */
 export function textOf(line: ParsedLine | undefined, field: string): string {
   const value = line?.fields[field];
   return typeof value === 'string' ? value : '';
@@ -39,16 +41,17 @@
     : null;
 }
 
-/** @returns the route of a request; empty where no line tells it */
+/** @returns the route of a request; empty where no line names it */
 export function routeOf({ placed, end }: RequestLines): string {
   return textOf(placed, 'route') || textOf(end, 'route');
 }
 
 /**
- * Gathers lines by request.
+ * Groups log lines by request.
  *
- * @param lines - of any number of instances, in any order
- * @returns the requests of which it is known where they led
+ * @param lines - log lines of any number of instances
+ * @returns the requests whose route is known and that were sent or ended without
+ *   an answer
  */
 export function requestsOf(
   lines: readonly ParsedLine[],
--- a/packages/events/src/summariseLines.ts
+++ b/packages/events/src/summariseLines.ts
@@ -7,42 +7,47 @@
 import type { SizeSummary } from './summariseSizes.js';
 import { summariseSizes } from './summariseSizes.js';
 
-/** What became of the requests of one route that arrived in one window of time. */
+/** Outcomes of the requests of one route whose first log line lies in one time window. */
 export interface WindowSummary {
   readonly route: string;
-  /** Start of the window, in seconds since the first line. */
+  /** Start of the window, in seconds since the first log line. */
   readonly fromS: number;
+  /** Requests that were sent to a backend server. */
   readonly placed: number;
   readonly refused: number;
-  /** Sent at a rank behind what can still be on time. */
+  /** Requests sent at a rank below those that can still meet their target. */
   readonly deferred: number;
   readonly answered: number;
-  /** First event later than its target, counted from the arrival here. */
+  /** Requests whose first event came later than its target. */
   readonly lateFirst: number;
-  /** First event in time, then a pause beyond its target. */
+  /** Requests whose first event came in time, but a later pause exceeded its target. */
   readonly latePauses: number;
+  /** Requests that ended without a complete answer after they were sent. */
   readonly cut: number;
-  /** Callers that closed their connection before the answer ended. */
+  /** Requests whose caller closed the connection before the answer ended. */
   readonly left: number;
-  /** Middle prediction of the time to the first event, in milliseconds. */
+  /** Median of the predicted time to the first event, in milliseconds. */
   readonly predictedMs: number;
-  /** Middle time that it took, in milliseconds. */
+  /** Median of the actual time to the first event, in milliseconds. */
   readonly firstMs: number;
-  /** Time that it took over the prediction, at the middle and at 90 in 100. */
+  /** Median of the ratio of the actual to the predicted time to the first event. */
   readonly errorP50: number;
+  /** 90th percentile of the same ratio. */
   readonly errorP90: number;
-  /** Share of prompt tokens that were expected in a cache or copied. */
+  /** Share of the prompt tokens that the server was not expected to read: cached or copied ones. */
   readonly kept: number;
 }
 
-/** Requests and prompt tokens that one backend server got. */
+/** Load that one backend server received. */
 export interface ServerSummary {
   readonly backendServer: string;
+  /** Attempts that were sent to the server. */
   readonly placed: number;
+  /** Prompt tokens of these attempts that the server was expected to read. */
   readonly unreadTokens: number;
 }
 
-/** What the lines of a day say as a whole. */
+/** Summary of the log lines of any number of instances. */
 export interface DaySummary {
   readonly windows: readonly WindowSummary[];
   readonly servers: readonly ServerSummary[];
@@ -65,7 +70,7 @@
   return targetMs > 0 && numberOf(answered, 'longestPauseMs') > targetMs;
 }
 
-function keptShare(requests: readonly RequestLines[]): number {
+function cachedShareOf(requests: readonly RequestLines[]): number {
   const sum = (field: string): number =>
     requests.reduce((total, { placed }) => total + numberOf(placed, field), 0);
   const prompt = sum('promptTokens');
@@ -81,11 +86,11 @@
   const answered = requests.filter(request => request.answered !== undefined);
   const ended = (id: string): number =>
     requests.filter(({ end }) => end?.id === id).length;
-  const errors = answered.map(
+  const ratios = answered.map(
     ({ placed, answered: line }) =>
       numberOf(line, 'firstMs') / Math.max(1, numberOf(placed, 'predictedMs')),
   );
-  const middle = (
+  const medianOf = (
     lines: readonly (ParsedLine | undefined)[],
     field: string,
   ): number =>
@@ -107,17 +112,17 @@
     ).length,
     cut: ended('requestCut'),
     left: ended('callerLeft'),
-    predictedMs: middle(
+    predictedMs: medianOf(
       sent.map(({ placed }) => placed),
       'predictedMs',
     ),
-    firstMs: middle(
+    firstMs: medianOf(
       answered.map(request => request.answered),
       'firstMs',
     ),
-    errorP50: quantile(errors, 0.5),
-    errorP90: quantile(errors, 0.9),
-    kept: keptShare(sent),
+    errorP50: quantile(ratios, 0.5),
+    errorP90: quantile(ratios, 0.9),
+    kept: cachedShareOf(sent),
   };
 }
 
@@ -139,14 +144,15 @@
 }
 
 /**
- * Sums up the log lines of any number of instances by route and window of time.
+ * Summarises the log lines of any number of instances by route and time window.
  *
- * Answers to requests whose lines were left out under load don't count; the lines
- * say how many those were.
+ * Requests whose lines were left out because of the rate limit are not counted;
+ * the `linesLeftOut` events state how many lines are missing.
  *
- * @param lines - in any order
+ * @param lines - log lines, in any order
  * @param windowS - length of a window, in seconds
- * @returns windows in order of time within each route, and backend servers by use
+ * @returns the windows of each route in chronological order, the backend servers
+ *   by descending number of tokens to read, and the outcomes by prompt size
  */
 export function summariseLines(
   lines: readonly ParsedLine[],
@@ -154,7 +160,7 @@
 ): DaySummary {
   const dated = lines.map(line => ({ line, ms: Date.parse(line.time) }));
   const startMs = dated.reduce(
-    (least, { ms }) => (ms < least ? ms : least),
+    (earliest, { ms }) => (ms < earliest ? ms : earliest),
     Infinity,
   );
   const requests = requestsOf(lines);
--- a/packages/events/src/summariseSizes.ts
+++ b/packages/events/src/summariseSizes.ts
@@ -3,15 +3,16 @@
 import type { RequestLines } from './requestLines.js';
 import { numberOf, routeOf } from './requestLines.js';
 
-/** Parts of a route's requests by the length of their prompts, the largest first. */
+/** Groups of a route's requests by prompt length: the longest 10 %, the next 20 %, the rest. */
 export type SizePart = 'largestTenth' | 'nextFifth' | 'rest';
 
-/** What became of the requests of one route in one part of its sizes. */
+/** Outcomes of the requests of one route in one group of prompt lengths. */
 export interface SizeSummary {
   readonly route: string;
   readonly part: SizePart;
-  /** The shortest prompt of the part, in tokens. */
+  /** Length of the shortest prompt in the group, in tokens. */
   readonly fromTokens: number;
+  /** Requests in the group. A caller's retry counts as a request of its own. */
   readonly asked: number;
   readonly answered: number;
   readonly refused: number;
@@ -20,7 +21,7 @@
 }
 
 const TENTH = 0.1;
-/** The largest tenth and the fifth below it. */
+/** Share of the two groups with the longest prompts together. */
 const THREE_TENTHS = 0.3;
 
 function tokensOf({ placed, end }: RequestLines): number {
@@ -47,13 +48,12 @@
 }
 
 /**
- * Sums up what became of large and small requests of each route.
+ * Summarises the outcomes of each route's requests by prompt length.
  *
- * Tells whether large ones are served less often than others; each try of a caller
- * counts by itself.
+ * The summary shows whether requests with long prompts are served less often.
  *
- * @param requests - of any number of routes
- * @returns three parts for each route whose requests have prompts
+ * @param requests - requests of any number of routes
+ * @returns up to three groups for each route whose requests have prompts
  */
 export function summariseSizes(
   requests: readonly RequestLines[],
--- a/packages/events/tests/LineWriter.test.ts
+++ b/packages/events/tests/LineWriter.test.ts
@@ -3,28 +3,28 @@
 import type { ParsedLine } from '../src/index.js';
 import { createBoundedLog, LineWriter, readLogLines } from '../src/index.js';
 
-/** A reader that takes nothing until it is let go on. */
+/** A reader that does not finish a write until `resume` is called. */
 function stalledReader() {
   const written: string[] = [];
-  let goOn: (() => void) | null = null;
+  let finishWrite: (() => void) | null = null;
   return {
     written,
     write: (bytes: Buffer, done: (err: Error | null) => void): void => {
       written.push(bytes.toString('utf8'));
-      goOn = () => {
+      finishWrite = () => {
         done(null);
       };
     },
-    goOn: (): void => {
-      goOn?.();
+    resume: (): void => {
+      finishWrite?.();
     },
   };
 }
 
 describe('LineWriter', ({ it }) => {
-  it('never waits for a reader that stalls, and counts what it drops', t => {
-    // Requests hang while a log collector is stuck: writes to a full pipe block
-    // the whole process. Lines must be dropped and counted instead.
+  it('does not wait for a stalled reader, and counts the lines that it drops', t => {
+    // Writes to a full pipe block the whole process, so requests would hang while a
+    // log collector is stuck. Lines must be dropped and counted instead.
     const reader = stalledReader();
     const writer = new LineWriter(reader.write);
     const line = 'x'.repeat(1000);
@@ -35,7 +35,7 @@
     const dropped = writer.takeDropped();
     t.true(dropped > 1000 && dropped < 2000);
     t.is(writer.takeDropped(), 0);
-    reader.goOn();
+    reader.resume();
     t.is(reader.written.length, 2);
     const lines = reader.written.join('').split('\n').filter(Boolean);
     t.is(lines.length + dropped, 2000);
@@ -60,7 +60,7 @@
     };
   };
 
-  it('bounds the lines of an event and tells how many it left out', t => {
+  it('limits the lines of an event per second and reports how many it left out', t => {
     let nowMs = 0;
     const { log, lines } = logOf(() => nowMs);
     Array.from({ length: 1000 }, (_, index) => index).forEach(request => {
@@ -76,9 +76,9 @@
     t.is(left?.fields.left, 700);
   });
 
-  // A burst refuses hundreds of requests a second for two reasons. The lines of
-  // the rarer one are left out like the others; its count must still be told.
-  it('tells what it left out by cause, and samples successes sooner', t => {
+  // A burst may refuse hundreds of requests per second for two reasons. Lines about
+  // the rarer reason are left out as well; its count must still be reported.
+  it('counts left-out lines by cause, with a lower limit for successes than for refusals', t => {
     let nowMs = 0;
     const { log, lines } = logOf(() => nowMs);
     Array.from({ length: 1000 }, (_, index) => index).forEach(request => {
--- a/packages/events/tests/explainRequest.test.ts
+++ b/packages/events/tests/explainRequest.test.ts
@@ -18,15 +18,15 @@
   explainRequest(readLogLines(line), 'q').steps[0];
 
 describe('explainRequest', ({ it }) => {
-  // A draft waited three seconds though its replica answered others meanwhile:
-  // it was late anyway when it came, so it was sent behind them.
-  it('says that a request stepped behind others, and what is copied for it', t => {
+  // A deferred request waits while its replica answers others, since it was predicted
+  // to miss its target when it arrived. The explanation has to state that reason.
+  it('states that a request was deferred, and from where cached parts are copied', t => {
     const step = firstStep(placed({ deferred: true, fetchFrom: 's-2' }));
     t.regex(step ?? '', /late anyway, so behind the others/);
     t.regex(step ?? '', /copies cached parts of s-2$/);
   });
 
-  it('says nothing of either for any other request', t => {
+  it('mentions neither for a request without deferral or copies', t => {
     t.regex(firstStep(placed({ deferred: false })) ?? '', /900 ms left$/);
   });
 });
--- a/packages/events/tests/summariseLines.test.ts
+++ b/packages/events/tests/summariseLines.test.ts
@@ -48,7 +48,7 @@
   });
 
 describe('summariseLines', ({ it }) => {
-  it('tells late first events from late pauses, by the window of the arrival', t => {
+  it('counts late first events and late pauses separately, by the window of the first line', t => {
     const { windows } = summariseLines(
       [
         placed(0, 'a'),
@@ -74,7 +74,7 @@
     t.is(second?.answered, 0);
   });
 
-  it('counts requests that were refused, cut or left, also without an attempt', t => {
+  it('counts requests that were refused, cut or left by the caller, with or without an attempt', t => {
     const { windows } = summariseLines(
       [
         line('requestRefused', 0, 'a', { route: 'r-1' }),
@@ -82,7 +82,7 @@
         line('requestCut', 1, 'b', { route: 'r-1' }),
         placed(0, 'c'),
         line('callerLeft', 1, 'c', { route: 'r-1' }),
-        // Without a route: a path that no route has.
+        // Without a route, since no route matched the path.
         line('requestRefused', 0, 'd'),
       ],
       4,
@@ -94,9 +94,9 @@
     t.is(windows[0]?.placed, 2);
   });
 
-  // Of the largest requests of a kind half as many were served as of all, and no line
-  // told how large a refused request had been.
-  it('tells what became of large and of small requests', t => {
+  // Guards against a service that serves requests with long prompts less often than
+  // others unnoticed: the prompt length of refused requests has to count as well.
+  it('summarises outcomes by prompt length', t => {
     const small = Array.from({ length: 7 }, (_, index) => [
       placed(0, `s-${index}`, { promptTokens: 100 + index }),
       answered(1, `s-${index}`, 90),
@@ -128,7 +128,7 @@
     );
   });
 
-  it('lists backend servers by the tokens that they had to read', t => {
+  it('lists backend servers by descending number of tokens to read', t => {
     const { servers } = summariseLines(
       [
         placed(0, 'a'),
