--- a/packages/events/src/createBoundedLog.ts
+++ b/packages/events/src/createBoundedLog.ts
@@ -41,8 +41,9 @@
   /** Start of the second, on the monotonic clock. */
   readonly sinceMs: number;
   lines: number;
-  omitted: number;
-  /** Omitted lines by the cause that they state. */
+  /** Lines left out. */
+  left: number;
+  /** Lines left out, by the cause that they state. */
   readonly omittedByCause: Map<string, number>;
 }
 
@@ -62,7 +63,7 @@
   const cause = causeOf(fields);
   const isKnown = omittedByCause.has(cause) || omittedByCause.size < MAX_CAUSES;
   const key = isKnown ? cause : OTHER_CAUSES;
-  count.omitted += 1;
+  count.left += 1;
   omittedByCause.set(key, (omittedByCause.get(key) ?? 0) + 1);
 }
 
@@ -110,10 +111,10 @@
       return known;
     }
     const dropped = writer.takeDropped();
-    if ((known?.omitted ?? 0) > 0 || dropped > 0) {
+    if ((known?.left ?? 0) > 0 || dropped > 0) {
       emit('linesLeftOut', {
         of: id,
-        left: known?.omitted ?? 0,
+        left: known?.left ?? 0,
         causes: Object.fromEntries(known?.omittedByCause ?? []),
         dropped,
       });
@@ -121,7 +122,7 @@
     const fresh: EventCount = {
       sinceMs: nowMs,
       lines: 0,
-      omitted: 0,
+      left: 0,
       omittedByCause: new Map(),
     };
     counts.set(id, fresh);
--- a/packages/events/src/explainRequest.ts
+++ b/packages/events/src/explainRequest.ts
@@ -25,13 +25,12 @@
 
 /** Describes a deferral and a cache copy of an attempt; empty where there are none. */
 function describePlacement({ deferred, fetchFrom }: Fields): string {
-  const deferral =
-    deferred === true ? '; late anyway, so behind the others' : '';
+  const behind = deferred === true ? '; late anyway, so behind the others' : '';
   const copies =
     fetchFrom === undefined
       ? ''
       : `; copies cached parts of ${formatValue(fetchFrom)}`;
-  return `${deferral}${copies}`;
+  return `${behind}${copies}`;
 }
 
 /** Sentence for each kind of line; other kinds are shown with all their fields. */
