--- a/packages/settings/src/entitySchemas.ts
+++ b/packages/settings/src/entitySchemas.ts
@@ -4,7 +4,7 @@
 const MAX_ID_LENGTH = 64;
 const SHA256_HEX = /^[0-9a-f]{64}$/;
 
-/** Letters, digits, dot, dash and underscore; safe in paths, headers and keys. */
+/** Letters, digits, dot, dash and underscore: safe in URL paths, headers and table keys. */
 export const idSchema = z
   .string()
   .max(MAX_ID_LENGTH)
@@ -54,11 +54,11 @@
   });
 
 /**
- * Checks an entity that came from outside.
+ * Validates an entity from an external source.
  *
- * @param kind - what it should be
- * @param value - the raw object, without `kind`
- * @returns the branded entity, or the list of faults
+ * @param kind - the expected kind
+ * @param value - the unchecked object, without `kind`
+ * @returns the entity with branded ids, or its faults
  */
 export function parseEntity(
   kind: Entity['kind'],
@@ -76,7 +76,7 @@
       ),
     };
   }
-  // The schema guarantees the shape; brands exist only at compile time.
+  // The schema has checked the shape; brands exist only at compile time.
   const entity = { kind, ...(result.data as object) } as unknown as Entity;
   return { ok: true, entity };
 }
--- a/packages/settings/src/findDeploymentFaults.ts
+++ b/packages/settings/src/findDeploymentFaults.ts
@@ -1,11 +1,14 @@
 import type { Deployment, Settings } from './settingsSchemas.js';
 
-interface CrossFault {
+/** A fault that concerns several entities. */
+interface DeploymentFault {
+  /** Path of the entity to correct. */
   readonly path: readonly (number | string)[];
   readonly expected: string;
 }
 
-const MAX_GUARANTEED = 0.5;
+/** Upper limit on the sum of all guaranteed shares. */
+const MAX_GUARANTEED_TOTAL = 0.5;
 
 type ListName =
   'backendServers' | 'modelVersions' | 'organisations' | 'requestClasses';
@@ -20,7 +23,7 @@
 function duplicateIds(
   deployment: Deployment,
   list: ListName,
-): readonly CrossFault[] {
+): readonly DeploymentFault[] {
   const ids = deployment[list].map(({ id }) => id);
   return ids.flatMap((id, index) =>
     ids.indexOf(id) < index
@@ -29,15 +32,15 @@
   );
 }
 
-function undeclaredModels(deployment: Deployment): readonly CrossFault[] {
+function undeclaredModels(deployment: Deployment): readonly DeploymentFault[] {
   const declared = new Set(deployment.modelVersions.map(({ id }) => id));
   return deployment.backendServers.flatMap((server, index) =>
-    server.models.flatMap((model, place) =>
+    server.models.flatMap((model, modelIndex) =>
       declared.has(model)
         ? []
         : [
             {
-              path: ['backendServers', index, 'models', place],
+              path: ['backendServers', index, 'models', modelIndex],
               expected: `a declared model instead of ${model}`,
             },
           ],
@@ -45,17 +48,19 @@
   );
 }
 
-function guaranteedTooMuch(deployment: Deployment): readonly CrossFault[] {
+function excessGuaranteedShares(
+  deployment: Deployment,
+): readonly DeploymentFault[] {
   const total = deployment.requestClasses.reduce(
     (sum, { guaranteedShare }) => sum + guaranteedShare,
     0,
   );
-  return total <= MAX_GUARANTEED
+  return total <= MAX_GUARANTEED_TOTAL
     ? []
     : [
         {
           path: ['requestClasses'],
-          expected: `guaranteed shares that add up to at most ${MAX_GUARANTEED}`,
+          expected: `guaranteed shares that add up to at most ${MAX_GUARANTEED_TOTAL}`,
         },
       ];
 }
@@ -63,18 +68,18 @@
 /**
  * Finds faults that concern several entities of a deployment.
  *
- * @param settings - settings whose shape was checked; other kinds have none
- * @returns faults with the path of the entity to correct
+ * @param settings - settings that satisfy the schema
+ * @returns the faults; none for settings of another kind
  */
 export function findDeploymentFaults(
   settings: Settings,
-): readonly CrossFault[] {
+): readonly DeploymentFault[] {
   if (settings.kind !== 'deployment') {
     return [];
   }
   return [
     ...LISTS.flatMap(list => duplicateIds(settings, list)),
     ...undeclaredModels(settings),
-    ...guaranteedTooMuch(settings),
+    ...excessGuaranteedShares(settings),
   ];
 }
--- a/packages/settings/src/formatFaults.ts
+++ b/packages/settings/src/formatFaults.ts
@@ -1,11 +1,11 @@
 import type { SettingsFault } from './parseSettings.js';
 
 /**
- * Lists faults for a person, one a line.
+ * Formats faults for display, one per line.
  *
- * @param file - name to print before each line number
- * @param faults - the faults
- * @returns lines of `file:line: path: expected …`
+ * @param file - file name to print before each line number
+ * @param faults - the faults of the file
+ * @returns lines of the form `file:line: path: expected …`
  */
 export function formatFaults(
   file: string,
--- a/packages/settings/src/parseSettings.ts
+++ b/packages/settings/src/parseSettings.ts
@@ -15,9 +15,9 @@
 export interface SettingsFault {
   /** Dotted path inside the document; empty for the document itself. */
   readonly path: string;
-  /** Line of the file, from 1. */
+  /** Line in the file, counted from 1. */
   readonly line: number;
-  /** What is expected there. */
+  /** What is expected at that place. */
   readonly expected: string;
 }
 
@@ -30,7 +30,7 @@
 const lineAt = (text: string, offset: number): number =>
   text.slice(0, offset).split('\n').length;
 
-/** The deepest node on the path that exists; a missing key has only its parent. */
+/** @returns the deepest existing node on a path; for a missing key, that of its parent */
 function nearestNode(root: Node, path: Path): Node {
   const found = findNodeAtLocation(root, [...path]);
   if (found || path.length === 0) {
@@ -69,17 +69,21 @@
 }
 
 /**
- * Parses and checks a settings file.
+ * Parses and checks the content of a settings file.
  *
- * @param text - JSON with comments
- * @returns the settings, or every fault with path, line and what is expected
+ * @param text - JSON with comments and trailing commas
+ * @returns the settings, or their faults; faults across entities are only looked
+ *   for once the schema is satisfied
  */
 export function parseSettings(text: string): SettingsResult {
   const errors: ParseError[] = [];
   const root = parseTree(text, errors, { allowTrailingComma: true });
   if (errors.length > 0 || !root) {
-    const none = [{ path: '', line: 1, expected: 'a JSON object' }];
-    return { ok: false, faults: root ? syntaxFaults(text, errors) : none };
+    const notAnObject = [{ path: '', line: 1, expected: 'a JSON object' }];
+    return {
+      ok: false,
+      faults: root ? syntaxFaults(text, errors) : notAnObject,
+    };
   }
   const result = settingsSchema.safeParse(getNodeValue(root));
   if (!result.success) {
@@ -89,14 +93,14 @@
       faults: issues.flatMap(issue => faultsOfIssue(text, root, issue)),
     };
   }
-  const crossFaults = findDeploymentFaults(result.data).map(
+  const deploymentFaults = findDeploymentFaults(result.data).map(
     ({ path, expected }) => ({
       path: path.join('.'),
       line: lineAt(text, nearestNode(root, path).offset),
       expected,
     }),
   );
-  return crossFaults.length > 0
-    ? { ok: false, faults: crossFaults }
+  return deploymentFaults.length > 0
+    ? { ok: false, faults: deploymentFaults }
     : { ok: true, settings: result.data };
 }
--- a/packages/settings/src/readSettings.ts
+++ b/packages/settings/src/readSettings.ts
@@ -6,12 +6,13 @@
 import type { SettingsKind, SettingsOf } from './settingsSchemas.js';
 
 /**
- * Reads a settings file of one kind.
+ * Reads and checks a settings file.
  *
  * @param file - path of the file
- * @param kind - the kind that the caller can use
+ * @param kind - the kind of settings that the caller expects
  * @returns the checked settings
- * @throws RouterError `configInvalid` that lists every fault
+ * @throws RouterError `configInvalid` with every fault, or when the file is of
+ *   another kind
  */
 export function readSettings<K extends SettingsKind>(
   file: string,
--- a/packages/settings/src/settingsSchemas.ts
+++ b/packages/settings/src/settingsSchemas.ts
@@ -22,11 +22,12 @@
   caFile: z.string().min(1),
 });
 
-/** Settings of one entry instance: `serve`. */
+/** Settings of one router instance, for `serve`. */
 export const instanceSettingsSchema = z.strictObject({
   kind: z.literal('instance'),
   instance: idSchema,
   failureDomain: idSchema,
+  /** HTTP for callers. */
   callers: listenSchema,
   /** gRPC for operators and for other instances. */
   control: listenSchema,
@@ -44,28 +45,30 @@
   logLevel: z.enum(['debug', 'info', 'warn', 'error']).default('info'),
 });
 
+/** Faults that a simulated engine injects. */
 const engineFaultsSchema = z.strictObject({
-  /** Factor on the duration of every step. */
+  /** Factor by which the duration of every step is multiplied. */
   slowdown: positive.default(1),
-  /** Whether open connections get nothing more while new ones work. */
+  /** Whether open connections receive no more data while new ones work. */
   silenceOpen: z.boolean().default(false),
-  /** Whether every stream is cut and new ones are refused. */
+  /** Whether open streams are cut and new requests are refused. */
   crashed: z.boolean().default(false),
 });
 
-/** Model of an engine's speed and memory. */
+/** Speed and memory of a simulated engine. */
 export const engineModelSchema = z.strictObject({
   maxBatch: z.number().int().positive().default(128),
   stepBaseMs: positive.default(8),
   stepPerSequenceMs: positive.default(0.8),
   prefillPerTokenMs: notNegative.default(0.02),
-  /** Prompt tokens and decoded tokens together per step. */
+  /** Maximum number of prompt and decoded tokens together in one step. */
   stepTokenBudget: z.number().int().positive().default(2048),
+  /** Size of the key-value cache, in tokens. */
   kvTokens: z.number().int().positive().default(200_000),
   prefixCacheTokens: z.number().int().positive().default(60_000),
 });
 
-/** Settings of the engine stand-in. */
+/** Settings of a simulated engine. */
 export const engineSettingsSchema = z.strictObject({
   kind: z.literal('engine'),
   id: idSchema,
@@ -73,15 +76,16 @@
   models: z.array(idSchema).min(1),
   model: engineModelSchema.prefault({}),
   checksFencing: z.boolean().default(true),
+  /** Delay until load shows in the load report, in milliseconds. */
   reportLagMs: notNegative.default(500),
   cacheEventLagMs: notNegative.default(1000),
-  /** Share of cache events that are lost. */
+  /** Share of cache events that are lost, from 0 to 1. */
   cacheEventLoss: share.default(0.05),
   faults: engineFaultsSchema.prefault({}),
   seed: z.number().int().default(1),
 });
 
-/** Settings of the plain-service stand-in. */
+/** Settings of a simulated plain service. */
 export const serviceSettingsSchema = z.strictObject({
   kind: z.literal('service'),
   id: idSchema,
@@ -93,13 +97,14 @@
   seed: z.number().int().default(1),
 });
 
-/** Settings of the platform stand-in: table, objects, instance list, weights. */
+/** Settings of the simulated platform: table, objects, instance list, weights. */
 export const platformSettingsSchema = z.strictObject({
   kind: z.literal('platform'),
   listen: listenSchema,
+  /** Delay until a change shows in the instance list, in milliseconds. */
   instanceListLagMs: notNegative.default(2000),
   weightLoadsPerMinute: positive.default(6),
-  /** Instances on the list from the start. */
+  /** Initial content of the instance list. */
   instances: z
     .array(
       z.strictObject({
@@ -114,7 +119,7 @@
   seed: z.number().int().default(1),
 });
 
-/** Everything that operators declare, in one file. */
+/** All entities that operators declare, in one file. */
 export const deploymentSchema = z.strictObject({
   kind: z.literal('deployment'),
   organisations: z.array(organisationSchema),
@@ -123,9 +128,10 @@
   backendServers: z.array(backendServerSchema),
 });
 
+/** A stream of similar requests in the generated load. */
 const streamSchema = z.strictObject({
   organisation: idSchema,
-  /** Plain organisation key. */
+  /** Key of the organisation in plain text. */
   key: z.string().min(1),
   requestClass: idSchema,
   target: z.union([
@@ -133,6 +139,7 @@
     z.strictObject({ service: idSchema }),
   ]),
   requestsPerSecond: positive,
+  /** A time span in which the request rate is multiplied by `factor`. */
   burst: z
     .strictObject({
       startSeconds: notNegative,
@@ -142,21 +149,21 @@
     .optional(),
   promptTokens: z.number().int().positive().default(100),
   maxTokens: z.number().int().positive().default(200),
-  /** Time after which a caller gives up waiting for the whole answer. */
+  /** Time after which a caller stops waiting for the complete answer. */
   patienceMs: positive.default(30_000),
 });
 
-/** Settings of the open-loop load: `load`. */
+/** Settings of the open-loop load generator, for `load`. */
 export const loadSettingsSchema = z.strictObject({
   kind: z.literal('load'),
-  /** Any instance; the others are learnt from its address answer. */
+  /** Instances to start from; they return the addresses of the others. */
   entryUrls: z.array(z.url()).min(1),
   seconds: positive.max(3600),
   seed: z.number().int().default(1),
   streams: z.array(streamSchema).min(1),
 });
 
-/** Every kind of settings file, told apart by `kind`. */
+/** All kinds of settings files, distinguished by `kind`. */
 export const settingsSchema = z.discriminatedUnion('kind', [
   deploymentSchema,
   engineSettingsSchema,
--- a/packages/settings/tests/parseSettings.test.ts
+++ b/packages/settings/tests/parseSettings.test.ts
@@ -71,7 +71,7 @@
     expected: /declared model instead of m/,
   },
   {
-    name: 'an id that stands twice',
+    name: 'a duplicate id',
     text: deployment(
       '[]',
       '[{"id":"m","version":"1"},\n{"id":"m","version":"2"}]',
@@ -83,7 +83,7 @@
 ] as const;
 
 describe('parseSettings', ({ it }) => {
-  it('accepts comments, trailing commas and defaults', t => {
+  it('accepts comments and trailing commas, and applies defaults', t => {
     const result = parseSettings(SERVICE);
     t.true(result.ok);
     t.is(
@@ -95,7 +95,7 @@
   });
 
   FAULTS.forEach(({ name, text, path, line, expected }) => {
-    it(`names path and line of ${name}`, t => {
+    it(`reports the path and line of ${name}`, t => {
       const result = parseSettings(text);
       const [fault] = result.ok ? [] : result.faults;
       t.is(fault?.path, path);
@@ -104,7 +104,7 @@
     });
   });
 
-  it('lists every fault, not only the first', t => {
+  it('lists all faults, not only the first', t => {
     const text = SERVICE.replace('"port": 0', '"port": -1').replace(
       '"services": ["stock"]',
       '"services": []',
