--- a/packages/stores/src/configuration/ConfigurationStore.ts
+++ b/packages/stores/src/configuration/ConfigurationStore.ts
@@ -19,8 +19,9 @@
   entityKey,
 } from './configurationKeys.js';
 
-/** A change that an operator asks for. */
+/** A change that an operator requests. */
 export interface ChangeRequest {
+  /** Chosen by the operator; a change with an id that was accepted before is not applied again. */
   readonly changeId: string;
   readonly operator: string;
   readonly atMs: number;
@@ -28,21 +29,24 @@
   readonly kind: EntityKind;
   readonly id: string;
   /**
-   * Computes the entity from the present one; null removes it.
+   * Computes the new entity from the current one; null removes it.
    *
-   * @throws RouterError when the change makes no sense on the present entity
+   * @throws RouterError when the change cannot be applied to the current entity
    */
   readonly change: (before: Entity | null) => Entity | null;
-  /** Revision at which the operator saw the entity; 0 for absent, null for any. */
+  /** Revision of the entity that the operator has seen; 0 for none, null to skip the check. */
   readonly ifRevision: number | null;
 }
 
+/** Result of a committed change. */
 export interface ChangeOutcome {
+  /** Revision that contains the change. */
   readonly revision: number;
+  /** Whether the change had been committed by an earlier call. */
   readonly repeated: boolean;
 }
 
-/** A declared entity with the revision of its last change. */
+/** The content of an entity row: the entity, null once removed, and the revision of its last change. */
 export interface StoredEntity {
   readonly entity: Entity | null;
   readonly revision: number;
@@ -52,18 +56,20 @@
   readonly revision: number;
 }
 
-const MAX_RACES = 8;
+/** Retries of a commit that lost the race for the head row. */
+const MAX_COMMIT_RETRIES = 8;
+/** Number of changes above which all entities are loaded anew instead. */
 const MAX_AUDIT_BATCH = 500;
 
 const revisionOf = (head: Row | null): number =>
   head ? (head.value as Head).revision : 0;
 
 /**
- * The declared configuration in the platform's table.
+ * Stores the declared configuration in the platform's table.
  *
- * One transaction writes the entity, its audit entry, the change id and the
- * head; the head's version orders all changes, so each revision is exactly one
- * change and the audit trail is the history of the configuration.
+ * Each change is one transaction that writes the entity, its audit entry, the change
+ * id and the head row. The version of the head row orders all changes, so each
+ * revision is exactly one change and the audit trail is the complete history.
  */
 export class ConfigurationStore {
   constructor(
@@ -76,12 +82,12 @@
    *
    * @param req - the change
    * @returns the revision that contains it
-   * @throws RouterError `changeConflict` when the entity was changed meanwhile,
-   *   `platformUnavailable` when it is unknown whether the change was accepted;
-   *   repeating it with the same change id is harmless
+   * @throws RouterError `changeConflict` when another change came first;
+   *   `platformUnavailable` when it is unknown whether the change was accepted, in
+   *   which case it can be repeated safely with the same change id
    */
   async commit(req: ChangeRequest): Promise<ChangeOutcome> {
-    return this.#commit(req, MAX_RACES);
+    return this.#commit(req, MAX_COMMIT_RETRIES);
   }
 
   async headRevision(): Promise<number> {
@@ -91,9 +97,9 @@
   /**
    * Reads the audit trail.
    *
-   * @param afterRevision - entries behind this revision
-   * @param limit - at most so many
-   * @returns entries, oldest first
+   * @param afterRevision - returns only entries after this revision
+   * @param limit - maximum number of entries
+   * @returns the entries, oldest first
    */
   async audit(
     afterRevision: number,
@@ -110,8 +116,8 @@
   /**
    * Brings a configuration up to date.
    *
-   * @param cfg - what is known
-   * @returns the latest configuration; the same object when nothing changed
+   * @param cfg - the last known configuration
+   * @returns the current configuration; the same object when nothing has changed
    */
   async update(cfg: Configuration): Promise<Configuration> {
     const head = await this.headRevision();
@@ -139,26 +145,29 @@
     await this.objects.write(SNAPSHOT_NAME, JSON.stringify(cfg));
   }
 
-  async #commit(req: ChangeRequest, racesLeft: number): Promise<ChangeOutcome> {
+  async #commit(
+    req: ChangeRequest,
+    retriesLeft: number,
+  ): Promise<ChangeOutcome> {
     const accepted = await this.table.get(changeKey(req.changeId));
     if (accepted) {
       return { revision: (accepted.value as Head).revision, repeated: true };
     }
     const head = await this.table.get(HEAD_KEY);
     const stored = await this.readEntity(req.kind, req.id);
-    this.#checkSeen(req, stored);
+    this.#checkRevision(req, stored);
     const entry = this.#entryOf(req, stored, revisionOf(head) + 1);
     const result = await this.#write(entry, head);
     if (result) {
       return { revision: entry.revision, repeated: false };
     }
-    if (racesLeft === 0) {
+    if (retriesLeft === 0) {
       throw routerError('changeConflict', 'Too many changes at once.');
     }
-    return this.#commit(req, racesLeft - 1);
+    return this.#commit(req, retriesLeft - 1);
   }
 
-  #checkSeen(req: ChangeRequest, stored: StoredEntity): void {
+  #checkRevision(req: ChangeRequest, stored: StoredEntity): void {
     const current = stored.entity === null ? 0 : stored.revision;
     if (req.ifRevision === null || req.ifRevision === current) {
       return;
@@ -187,7 +196,7 @@
     };
   }
 
-  /** @returns false when another change came first */
+  /** @returns false when another change was committed first */
   async #write(entry: AuditEntry, head: Row | null): Promise<boolean> {
     const { revision } = entry;
     const stored: StoredEntity = { entity: entry.after, revision };
@@ -200,7 +209,7 @@
     return result.ok;
   }
 
-  /** Reads all entities; repeats when a change came between. */
+  /** Reads all entities; starts over when a change is committed meanwhile. */
   async #loadAll(): Promise<Configuration> {
     const revision = await this.headRevision();
     const rows = await this.table.scan({ prefix: ENTITY_PREFIX });
--- a/packages/stores/src/configuration/applyEntity.ts
+++ b/packages/stores/src/configuration/applyEntity.ts
@@ -13,13 +13,13 @@
 } as const satisfies Record<EntityKind, keyof Configuration>;
 
 /**
- * Replaces, adds or removes one entity.
+ * Adds, replaces or removes one entity.
  *
- * @param cfg - configuration before; not changed
- * @param kind - list that the entity belongs to
+ * @param cfg - the configuration, which is not modified
+ * @param kind - kind of the entity
  * @param id - id of the entity
  * @param after - the entity, or null to remove it
- * @returns the configuration with the same revision
+ * @returns the new configuration, with the same revision
  */
 export function applyEntity(
   cfg: Configuration,
@@ -33,8 +33,8 @@
   );
   return {
     ...cfg,
-    // The order of a table's rows, so that a configuration that was read as a whole and
-    // one that followed the changes are the same.
+    // Sorted like the rows of the table, so that a configuration that was read as a
+    // whole equals one that was updated change by change.
     [list]: after ? [...others, after].sort(byId) : others,
   };
 }
@@ -44,10 +44,10 @@
 }
 
 /**
- * Applies the next change of the audit trail.
+ * Applies the next entry of the audit trail.
  *
- * @param cfg - configuration at the revision before
- * @param entry - the change
+ * @param cfg - the configuration at the previous revision
+ * @param entry - the audit entry
  * @returns the configuration at the revision of the entry
  */
 export function applyAuditEntry(
--- a/packages/stores/src/http/PlatformHttp.ts
+++ b/packages/stores/src/http/PlatformHttp.ts
@@ -10,13 +10,16 @@
 import { Agent, request } from 'undici';
 import { routerError } from '@jujubecroft/types';
 
-/** How patiently the platform is called. */
+/** Address, timeouts and retries of calls to the platform. */
 export interface PlatformHttpOptions {
   readonly url: string;
+  /** Time limit for the headers, and for each pause in the body, of one reply. */
   readonly timeoutMs: number;
+  /** Retries of a repeatable call, after its first attempt. */
   readonly maxAttempts: number;
-  /** Consecutive failures after which calls fail at once. */
+  /** Number of consecutive failures that open the circuit breaker. */
   readonly breakAfter: number;
+  /** Time after which an open circuit breaker lets a probe through. */
   readonly halfOpenAfterMs: number;
 }
 
@@ -27,7 +30,7 @@
   halfOpenAfterMs: 2000,
 } as const satisfies Omit<PlatformHttpOptions, 'url'>;
 
-/** Body and status of one reply. */
+/** Status and body of one reply. */
 export interface PlatformReply {
   readonly status: number;
   readonly body: string;
@@ -37,7 +40,7 @@
   readonly method: 'GET' | 'POST' | 'PUT';
   readonly path: string;
   readonly body?: string;
-  /** A call that is safe to send twice. */
+  /** Whether the call may be sent more than once. */
   readonly repeatable: boolean;
 }
 
@@ -48,14 +51,14 @@
  * Calls the platform over HTTP with a timeout, bounded retries with jitter and
  * a circuit breaker.
  *
- * Guards against an outage that every instance makes longer by retrying: after
- * some failures in a row calls fail at once, and one probe at a time finds out
- * whether the platform is back.
+ * The circuit breaker keeps the retries of all instances from prolonging an outage:
+ * after several consecutive failures calls fail immediately, and one probe at a time
+ * checks whether the platform is available again.
  */
 export class PlatformHttp {
   readonly #agent: Agent;
-  readonly #once: IPolicy;
-  readonly #repeated: IPolicy;
+  readonly #withoutRetry: IPolicy;
+  readonly #withRetry: IPolicy;
 
   constructor(private readonly options: PlatformHttpOptions) {
     this.#agent = new Agent({ connections: 8, pipelining: 1 });
@@ -63,8 +66,8 @@
       halfOpenAfter: options.halfOpenAfterMs,
       breaker: new ConsecutiveBreaker(options.breakAfter),
     });
-    this.#once = breaker;
-    this.#repeated = wrap(
+    this.#withoutRetry = breaker;
+    this.#withRetry = wrap(
       retry(handleAll, {
         maxAttempts: options.maxAttempts,
         backoff: new ExponentialBackoff({ initialDelay: INITIAL_BACKOFF_MS }),
@@ -77,12 +80,12 @@
    * Sends one call.
    *
    * @param call - method, path, body and whether it may be repeated
-   * @returns status and body of any reply below 500
-   * @throws RouterError `platformUnavailable` when no such reply came; the
+   * @returns status and body of a reply with a status below 500
+   * @throws RouterError `platformUnavailable` when there was no such reply; the
    *   call may have taken effect
    */
   async send(call: PlatformCall): Promise<PlatformReply> {
-    const policy = call.repeatable ? this.#repeated : this.#once;
+    const policy = call.repeatable ? this.#withRetry : this.#withoutRetry;
     try {
       return await policy.execute(() => this.#attempt(call));
     } catch (cause) {
--- a/packages/stores/src/http/createPlatform.ts
+++ b/packages/stores/src/http/createPlatform.ts
@@ -8,7 +8,7 @@
 import type { PlatformReply } from './PlatformHttp.js';
 import { DEFAULT_PLATFORM_HTTP, PlatformHttp } from './PlatformHttp.js';
 
-/** All that the platform offers, behind narrow ports. */
+/** Ports to the services of the platform. */
 export interface Platform {
   readonly table: TableStore;
   readonly objects: ObjectStore;
@@ -71,8 +71,8 @@
       decode(rowSchema.nullable(), await read('/table/get', { key })),
     scan: async options =>
       decode(z.array(rowSchema), await read('/table/scan', options)),
-    // A transaction whose reply was lost may have taken effect, so it is never
-    // repeated here; who sent it knows how to look.
+    // A transaction whose reply was lost may have taken effect, so it is not retried
+    // here; the sender knows which row tells whether it did.
     transact: async writes =>
       decode(
         transactSchema,
@@ -109,10 +109,10 @@
 }
 
 /**
- * Creates clients for every service of the platform.
+ * Creates clients for all services of the platform.
  *
  * @param url - base URL of the platform
- * @returns the ports, sharing one circuit breaker
+ * @returns the ports; they share one circuit breaker
  */
 export function createPlatform(url: string): Platform {
   const http = new PlatformHttp({ ...DEFAULT_PLATFORM_HTTP, url });
--- a/packages/stores/src/ports/TableStore.ts
+++ b/packages/stores/src/ports/TableStore.ts
@@ -2,19 +2,20 @@
 export interface Row {
   readonly key: string;
   readonly value: unknown;
-  /** Grows with every write of the row. */
+  /** Increases with every write of the row. */
   readonly version: number;
 }
 
-/** One write of a transaction with its condition. */
+/** One conditional write of a transaction. */
 export interface TableWrite {
   readonly key: string;
   /** `null` deletes the row. */
   readonly value: unknown;
-  /** Version that the row must have; 0 for absent, omitted for any. */
+  /** Version that the row must have; 0 if it must not exist, omitted for any. */
   readonly ifVersion?: number;
 }
 
+/** Success, or the first row that did not have the expected version. */
 export type TransactResult =
   | {
       readonly conflict: Row | null;
@@ -26,7 +27,7 @@
 /** Options of a scan. */
 export interface ScanOptions {
   readonly prefix: string;
-  /** Only keys behind this one. */
+  /** Returns only keys that sort after this one. */
   readonly after?: string;
   readonly limit?: number;
 }
@@ -34,8 +35,8 @@
 /**
  * The platform's transactional table.
  *
- * Every call may fail with `platformUnavailable`. A failed `transact` may have
- * taken effect all the same; callers settle that by reading what they wrote.
+ * Any call may fail with `platformUnavailable`. A failed `transact` may have taken
+ * effect nevertheless; callers find out by reading the rows that they wrote.
  */
 export interface TableStore {
   readonly get: (key: string) => Promise<Row | null>;
--- a/packages/stores/tests/configuration/ConfigurationStore.test.ts
+++ b/packages/stores/tests/configuration/ConfigurationStore.test.ts
@@ -22,17 +22,20 @@
   write: () => Promise.resolve(),
 };
 
-/** What the table does to one transaction. */
-type Fate = 'lost' | 'ok' | 'replyLost';
+/** Simulated outcome of one transaction. */
+type TransactionOutcome = 'lost' | 'ok' | 'replyLost';
 
-function tableOn(table: Table, fate: () => Fate): TableStore {
+function tableOn(
+  table: Table,
+  nextOutcome: () => TransactionOutcome,
+): TableStore {
   return {
     get: key => Promise.resolve(table.get(key)),
     scan: options => Promise.resolve(table.scan(options)),
     transact: writes => {
-      const drawn = fate();
-      const result = drawn === 'lost' ? null : table.transact(writes);
-      return result && drawn === 'ok'
+      const simulated = nextOutcome();
+      const result = simulated === 'lost' ? null : table.transact(writes);
+      return result && simulated === 'ok'
         ? Promise.resolve(result)
         : Promise.reject(routerError('platformUnavailable', 'no reply'));
     },
@@ -72,16 +75,16 @@
   }
 };
 
-const newStore = (fate: () => Fate = () => 'ok') => {
+const newStore = (nextOutcome: () => TransactionOutcome = () => 'ok') => {
   const table = new Table();
-  return new ConfigurationStore(tableOn(table, fate), NO_OBJECTS);
+  return new ConfigurationStore(tableOn(table, nextOutcome), NO_OBJECTS);
 };
 
 describe('ConfigurationStore', suite => {
   suite.describe('racing operators', ({ it }) => {
-    it('refuses the second change and shows the first', async t => {
-      // An operator's change disappears without a word. Two of them changed the
-      // same model from the same reading, and the later write won.
+    it('refuses the second change and includes the first in the error', async t => {
+      // Guards against a silently lost update: two operators read the same revision of
+      // a model, both change it, and the later write overwrites the earlier one.
       const store = newStore();
       await store.commit(change('m', '1', 0));
       await store.commit(change('m', '2', 1));
@@ -92,7 +95,7 @@
       t.is(cfg.modelVersions[0]?.version, '2');
     });
 
-    it('commits changes to different entities that race for the head', async t => {
+    it('commits concurrent changes to different entities', async t => {
       const store = newStore();
       const outcomes = await Promise.all(
         ['a', 'b', 'c', 'd'].map(id => store.commit(change(id, '1', 0))),
@@ -106,7 +109,7 @@
       t.is(cfg.revision, 4);
     });
 
-    it('does not create what exists', async t => {
+    it('refuses to create an entity that exists', async t => {
       const store = newStore();
       await store.commit(change('m', '1', 0));
       const code = await codeOf(store.commit(change('m', '2', 0)));
@@ -115,11 +118,11 @@
   });
 
   suite.describe('lost replies', ({ it }) => {
-    it('settles a lost reply when the change is repeated', async t => {
-      // An operator sees a timeout, repeats the change, and it stands twice in
-      // the audit trail. The first write had taken effect without its reply.
-      const fates: Fate[] = ['replyLost', 'ok'];
-      const store = newStore(() => fates.shift() ?? 'ok');
+    it('recognises a repeated change whose first reply was lost', async t => {
+      // Guards against duplicate audit entries: the first write took effect but its
+      // reply was lost, so the operator sees a timeout and repeats the change.
+      const pending: TransactionOutcome[] = ['replyLost', 'ok'];
+      const store = newStore(() => pending.shift() ?? 'ok');
       t.is(
         await codeOf(store.commit(change('m', '1', 0))),
         'platformUnavailable',
@@ -129,11 +132,15 @@
       t.is((await store.audit(0, 10)).length, 1);
     });
 
-    it('keeps one audit entry a revision under any fate of the writes', async t => {
+    it('keeps one audit entry per revision when writes or replies are lost', async t => {
       const property = fc.asyncProperty(fc.integer(), async seed => {
         const random = createRandom(seed);
-        const fates: readonly Fate[] = ['ok', 'lost', 'replyLost'];
-        const store = newStore(() => fates[Math.floor(random() * 3)] ?? 'ok');
+        const choices: readonly TransactionOutcome[] = [
+          'ok',
+          'lost',
+          'replyLost',
+        ];
+        const store = newStore(() => choices[Math.floor(random() * 3)] ?? 'ok');
         for (let index = 0; index < 12; index += 1) {
           const id = `m${Math.floor(random() * 3)}`;
           const request = change(id, `${index}`, null);
@@ -154,7 +161,7 @@
   });
 
   suite.describe('catching up', ({ it }) => {
-    it('reaches the same configuration step by step as in one load', async t => {
+    it('reaches the same configuration change by change as by loading it whole', async t => {
       const store = newStore();
       let stepwise: Configuration = EMPTY_CONFIGURATION;
       for (let index = 1; index <= 6; index += 1) {
@@ -168,7 +175,7 @@
       t.is(stepwise.revision, whole.revision);
     });
 
-    it('keeps who, when, before and after of each change', async t => {
+    it('records the operator and the entity before and after each change', async t => {
       const store = newStore();
       await store.commit(change('m', '1', 0));
       await store.commit(change('m', '2', 1));
--- a/packages/stores/tests/configuration/applyEntity.test.ts
+++ b/packages/stores/tests/configuration/applyEntity.test.ts
@@ -7,9 +7,9 @@
 const IDS = ['hotel-riva', 'bistro', 'konoba-mir'];
 
 describe('applyEntity', ({ it }) => {
-  // Guards against instances whose configurations of one revision differ in order, by
-  // whether they learnt them as a whole or by the changes.
-  it('keeps entities in the order of their keys, however they come', t => {
+  // Guards against instances that hold the same revision with different order, depending
+  // on whether they loaded it as a whole or applied the changes one by one.
+  it('sorts entities by id, whatever the order in which they are added', t => {
     const added = IDS.reduce(
       (cfg, id) =>
         applyEntity(cfg, 'modelVersion', id, {
