--- a/packages/backends/src/ConnectionPools.ts
+++ b/packages/backends/src/ConnectionPools.ts
@@ -4,15 +4,17 @@
 const CONNECT_TIMEOUT_MS = 1000;
 const KEEP_ALIVE_MS = 30_000;
 
+/** A connection pool and the origin that it connects to. */
 interface Entry {
   readonly origin: string;
   readonly pool: Pool;
 }
 
-/** Connections to each backend server. */
+/** One connection pool per backend server. */
 export class ConnectionPools {
   readonly #entries = new Map<BackendServerId, Entry>();
 
+  /** @returns the pool of a server, a new one when its origin has changed */
   of(server: BackendServer): Pool {
     const { origin } = new URL(server.url);
     const known = this.#entries.get(server.id);
@@ -23,7 +25,7 @@
     const pool = new Pool(origin, {
       connectTimeout: CONNECT_TIMEOUT_MS,
       keepAliveTimeout: KEEP_ALIVE_MS,
-      // Silence is judged by progress, in the decision logic.
+      // The decision logic detects silent connections by the lack of progress.
       headersTimeout: 0,
       bodyTimeout: 0,
     });
@@ -32,10 +34,10 @@
   }
 
   /**
-   * Makes the next attempt use fresh connections.
+   * Discards the pool of a server, so that the next attempt opens a new connection.
    *
-   * Guards against connections that went silent for good: kept-alive ones may
-   * be lost like those on which the silence was seen, so none is used again.
+   * When one connection has gone silent, the idle ones of the pool may be dead as
+   * well, so none of them is used again.
    */
   renew(id: BackendServerId): void {
     const known = this.#entries.get(id);
@@ -43,6 +45,7 @@
     known?.pool.close().catch(() => undefined);
   }
 
+  /** Closes all connections, also those with requests in flight. */
   async destroy(): Promise<void> {
     const pools = [...this.#entries.values()].map(({ pool }) => pool);
     this.#entries.clear();
--- a/packages/backends/src/classifyFailure.ts
+++ b/packages/backends/src/classifyFailure.ts
@@ -1,6 +1,6 @@
 import type { AttemptFailure } from '@jujubecroft/decisions';
 
-/** Faults that happen before a connection exists, so nothing was sent. */
+/** Codes of errors that occur before a connection exists, so that nothing was sent. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -16,11 +16,11 @@
 }
 
 /**
- * Says what is certain about an attempt that ended in a transport error.
+ * Classifies the transport error of an attempt by whether the request may have run.
  *
  * @param err - error from the HTTP client
- * @returns `ran: "no"` only when no connection was made; a reset may come
- *   after the server began, so it counts as `maybe`
+ * @returns `ran: "no"` only when no connection was established, else `maybe`: a
+ *   connection may be reset after the server has started the request
  */
 export function classifyFailure(err: unknown): AttemptFailure {
   return NOT_SENT_CODES.has(codeOf(err))
--- a/packages/backends/src/fetchLoadReport.ts
+++ b/packages/backends/src/fetchLoadReport.ts
@@ -12,10 +12,10 @@
 });
 
 /**
- * Reads the load report of a backend server.
+ * Fetches the load report of a backend server.
  *
  * @param pool - connections to the server
- * @returns the report, or null when none came; a missing report is no failure
+ * @returns the report; null when there is none, which does not count as a failure
  */
 export async function fetchLoadReport(pool: Pool): Promise<LoadReport | null> {
   try {
--- a/packages/backends/src/startEngineAttempt.ts
+++ b/packages/backends/src/startEngineAttempt.ts
@@ -12,7 +12,7 @@
 const OK = 200;
 const DONE = '[DONE]';
 
-/** A stream chunk, as far as it is read. Checked by hand: once per token. */
+/** The parts of a stream chunk that are read. Checked by hand, since it runs for each token. */
 interface Chunk {
   readonly choices?: readonly {
     readonly delta?: { readonly content?: unknown };
@@ -20,11 +20,11 @@
 }
 
 /**
- * Takes the new text out of a stream chunk.
+ * Extracts the new text from a stream chunk.
  *
- * @param data - JSON of the chunk
- * @returns the text; empty for chunks that carry none
- * @throws Error when it is no chunk, so that the attempt counts as broken
+ * @param data - the chunk as JSON
+ * @returns the text; empty where the chunk has none
+ * @throws Error when the chunk is malformed, so that the attempt counts as broken
  */
 function contentOf(data: string): string {
   const chunk = JSON.parse(data) as Chunk;
@@ -53,7 +53,7 @@
   });
 }
 
-/** Follows one event stream up to its `[DONE]`. */
+/** Reads one event stream up to its `[DONE]` marker. */
 class StreamReader {
   #done = false;
   #text = '';
@@ -70,7 +70,7 @@
     return this.#done;
   }
 
-  /** Takes bytes in; all tokens among them become one progress call. */
+  /** Parses bytes; reports all tokens in them by one call of `onProgress`. */
   feed(bytes: string): void {
     this.#parser.feed(bytes);
     if (this.#tokens === 0) {
@@ -122,7 +122,7 @@
   listener.onFailed({ ran: 'maybe', reason: 'broken' });
 }
 
-/** An engine that answers with an error status did not start the request. */
+/** Reports a refusal: an engine that answers with an error status did not start the request. */
 async function refuse(
   res: Dispatcher.ResponseData,
   listener: AttemptListener<EngineProgress>,
@@ -132,12 +132,13 @@
 }
 
 /**
- * Sends a request to an engine and follows its stream.
+ * Sends a request to an engine and reads its event stream.
  *
  * @param pool - connections to the engine
  * @param call - the attempt
- * @param listener - hears tokens and the end
- * @returns handle to cancel; closing the connection makes the engine stop
+ * @param listener - receives the tokens and the end
+ * @returns handle that cancels the attempt; closing the connection makes the engine
+ *   stop as well
  */
 export function startEngineAttempt(
   pool: Pool,
--- a/packages/backends/src/startServiceAttempt.ts
+++ b/packages/backends/src/startServiceAttempt.ts
@@ -3,7 +3,7 @@
 import type { AttemptHandle, AttemptListener } from './EngineCall.js';
 import { runAttempt } from './util/runAttempt.js';
 
-/** One call of a plain service, passed on as it came. */
+/** One call to a plain service, forwarded as received. */
 export interface ServiceCall {
   readonly method: string;
   readonly path: string;
@@ -11,7 +11,7 @@
   readonly body: Buffer | null;
 }
 
-/** The whole reply of a plain service. */
+/** The complete reply of a plain service. */
 export interface ServiceReply {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
@@ -20,7 +20,7 @@
 
 const UNAVAILABLE = 503;
 
-/** Headers that concern one connection only and are never passed on. */
+/** Headers that concern a single connection or message and are not forwarded. */
 const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'content-length',
@@ -29,7 +29,7 @@
   'transfer-encoding',
 ]);
 
-function passedHeaders(
+function forwardedHeaders(
   headers: Dispatcher.ResponseData['headers'],
 ): Readonly<Record<string, string>> {
   return Object.fromEntries(
@@ -57,21 +57,21 @@
     listener.onFailed({ ran: 'no', reason: 'refused' });
     return;
   }
-  const headers = passedHeaders(res.headers);
+  const headers = forwardedHeaders(res.headers);
   listener.onProgress({ status: res.statusCode, headers, body });
   listener.onFinished();
 }
 
 /**
- * Sends a call to a plain service and waits for its whole reply.
+ * Sends a call to a plain service and waits for its complete reply.
  *
- * A reply with status 503 is taken as the service's word that it did not run
- * the call; every other status is the service's answer.
+ * Status 503 means that the service did not run the call; any other status is the
+ * answer of the service.
  *
  * @param pool - connections to the service
  * @param call - method, path, headers and body
- * @param listener - hears the reply as one progress call, then the end
- * @returns handle to cancel
+ * @param listener - receives the reply by one call of `onProgress`, then the end
+ * @returns handle that cancels the attempt
  */
 export function startServiceAttempt(
   pool: Pool,
--- a/packages/backends/src/util/runAttempt.ts
+++ b/packages/backends/src/util/runAttempt.ts
@@ -4,11 +4,12 @@
 import type { AttemptHandle } from '../EngineCall.js';
 
 /**
- * Runs an attempt so that it can be cancelled.
+ * Starts an attempt that can be cancelled.
  *
- * @param run - does the work until it ends or the signal is aborted
- * @param onFailed - hears of a transport error, unless the attempt was cancelled
- * @returns handle to cancel; closing the connection makes the server stop
+ * @param run - performs the attempt; stops when the signal is aborted
+ * @param onFailed - called on a transport error, unless the attempt was cancelled
+ * @returns handle that cancels the attempt; closing the connection makes the server
+ *   stop as well
  */
 export function runAttempt(
   run: (signal: AbortSignal) => Promise<void>,
--- a/packages/backends/tests/classifyFailure.test.ts
+++ b/packages/backends/tests/classifyFailure.test.ts
@@ -19,9 +19,9 @@
 
 describe('classifyFailure', ({ it }) => {
   CASES.forEach(({ err, ran }, index) => {
-    it(`says "${ran}" for case ${index}: ${String(err)}`, t => {
-      // A price is changed twice, because a reset connection was taken for one
-      // that never existed. Only a refused connection proves that nothing ran.
+    it(`classifies an attempt as ran "${ran}" for error ${index}: ${String(err)}`, t => {
+      // Guards against a request that runs twice because a reset connection was taken
+      // for a refused one. Only a refused connection proves that nothing ran.
       t.is(classifyFailure(err).ran, ran);
     });
   });
