--- a/packages/testing/src/describe.ts
+++ b/packages/testing/src/describe.ts
@@ -7,9 +7,9 @@
 export interface Suite {
   /** Declares one test. */
   readonly it: (title: string, body: Body) => void;
-  /** Declares a test that must not run beside others of its file. */
+  /** Declares a test that runs serially, not concurrently with others of its file. */
   readonly itAlone: (title: string, body: Body) => void;
-  /** Opens a nested group. */
+  /** Declares a nested group. */
   readonly describe: (title: string, body: (suite: Suite) => void) => void;
 }
 
@@ -31,10 +31,10 @@
 }
 
 /**
- * Groups tests, since the test runner knows only flat titles.
+ * Groups tests under a common title, since ava supports flat titles only.
  *
- * @param title - of the group
- * @param body - declares tests and nested groups
+ * @param title - title of the group
+ * @param body - declares the tests and nested groups
  */
 export function describe(title: string, body: (suite: Suite) => void): void {
   body(suiteAt([title]));
--- a/packages/testing/src/dutyActs.ts
+++ b/packages/testing/src/dutyActs.ts
@@ -1,24 +1,29 @@
-/** A call that a holder made. */
+/** A call to the platform by an instance that held the lease for the duties of the fleet. */
 export interface DutyAct {
+  /** The calling instance. */
   readonly holder: string;
+  /** Fencing token of the lease. */
   readonly token: number;
   readonly atMs: number;
 }
 
 /**
- * Checks what holders did against what has to hold for the duties of a fleet.
+ * Checks that the calls of all lease holders respect mutual exclusion.
  *
- * @param acts - of all holders, in the order in which the platform got them
- * @param leaseMs - time in which the same holder must not come back
- * @returns what is wrong; null where nothing is
+ * Each token belongs to one holder, tokens never decrease, and a holder that lost the
+ * lease to another one does not return within the duration of a lease.
+ *
+ * @param acts - the calls of all holders, in the order in which the platform got them
+ * @param leaseMs - duration of a lease, in milliseconds
+ * @returns a description of the first violation; null where there is none
  */
 export function faultOf(
   acts: readonly DutyAct[],
   leaseMs: number,
 ): string | null {
   const holders = new Map<number, string>();
-  for (const [place, act] of acts.entries()) {
-    const before = acts.slice(0, place);
+  for (const [index, act] of acts.entries()) {
+    const before = acts.slice(0, index);
     const owner = holders.get(act.token) ?? act.holder;
     if (owner !== act.holder) {
       return `two holders with token ${act.token}`;
@@ -28,13 +33,13 @@
       return `token ${act.token} after a higher one`;
     }
     const other = before.findLastIndex(({ holder }) => holder !== act.holder);
-    const cameBack = before
+    const hasReturned = before
       .slice(0, Math.max(0, other))
       .some(
         ({ holder, atMs }) =>
           holder === act.holder && act.atMs - atMs < leaseMs,
       );
-    if (cameBack) {
+    if (hasReturned) {
       return `${act.holder} came back within a lease`;
     }
   }
