--- a/packages/operator/src/ClientCache.ts
+++ b/packages/operator/src/ClientCache.ts
@@ -1,16 +1,16 @@
-/** A client that holds a channel. */
+/** A client with a channel that has to be closed. */
 interface ClosableClient {
   readonly close: () => void;
 }
 
-/** Clients by address, made at first use. */
+/** Caches one client per address, created at first use. */
 export class ClientCache<Client extends ClosableClient> {
   readonly #clients = new Map<string, Client>();
 
-  /** @param create - makes the client of an address */
+  /** @param create - creates the client of an address */
   constructor(private readonly create: (address: string) => Client) {}
 
-  /** @returns the client of an address */
+  /** @returns the client of an address, created if there is none */
   of(address: string): Client {
     const known = this.#clients.get(address);
     if (known) {
@@ -21,13 +21,13 @@
     return client;
   }
 
-  /** Closes the channel to an address; the next call opens another. */
+  /** Closes and removes the client of an address; the next use creates a new one. */
   drop(address: string): void {
     this.#clients.get(address)?.close();
     this.#clients.delete(address);
   }
 
-  /** Closes channels to addresses that are no longer used. */
+  /** Closes and removes the clients of all addresses but the given ones. */
   keepOnly(addresses: ReadonlySet<string>): void {
     [...this.#clients.keys()]
       .filter(address => !addresses.has(address))
@@ -36,6 +36,7 @@
       });
   }
 
+  /** Closes all clients. */
   close(): void {
     this.keepOnly(new Set());
   }
--- a/packages/operator/src/OperatorConnection.ts
+++ b/packages/operator/src/OperatorConnection.ts
@@ -5,6 +5,7 @@
 import { OperatorClient } from './generated/jujubecroft.js';
 import { unary } from './unary.js';
 
+/** Time limit for each unary call. */
 const CALL_TIMEOUT_MS = 10_000;
 
 /** An operator's connection to one instance. */
@@ -15,7 +16,7 @@
   /**
    * @param address - host and port of the instance's control server
    * @param token - the operator's token
-   * @param creds - transport security; plain where omitted
+   * @param creds - transport credentials; insecure where omitted
    */
   constructor(
     address: string,
@@ -86,7 +87,7 @@
     );
   }
 
-  /** Opens a stream of decisions; the caller cancels it. */
+  /** Opens a stream of decision events, which the caller has to cancel. */
   watch(req: proto.WatchRequest): ClientReadableStream<proto.DecisionEvent> {
     return this.#client.watch(req, this.#metadata);
   }
--- a/packages/operator/src/applyDeployment.ts
+++ b/packages/operator/src/applyDeployment.ts
@@ -8,7 +8,7 @@
 
 type Fields = Readonly<Record<string, unknown>> & { readonly id: string };
 
-/** Entities of a deployment file, by kind. */
+/** Entities of a deployment file, grouped by kind. */
 export interface DeploymentEntities {
   readonly modelVersions: readonly Fields[];
   readonly requestClasses: readonly Fields[];
@@ -16,13 +16,16 @@
   readonly backendServers: readonly Fields[];
 }
 
+/** An entity to declare. */
 interface Declaration {
   readonly kind: EntityKind;
   readonly fields: Fields;
 }
 
-/** Servers come last, so that nothing is routed before the rest is known. */
-function inOrder(deployment: DeploymentEntities): readonly Declaration[] {
+/** Lists backend servers last, so that no request is routed before the rest is declared. */
+function declarationsInOrder(
+  deployment: DeploymentEntities,
+): readonly Declaration[] {
   const of = (
     kind: EntityKind,
     entities: readonly Fields[],
@@ -35,7 +38,8 @@
   ];
 }
 
-const entityId = (entity: proto.Entity | undefined): string => {
+/** @returns kind and id of an entity; empty where the message holds none */
+const entityKeyOf = (entity: proto.Entity | undefined): string => {
   switch (entity?.value?.$case) {
     case 'organisation':
       return `organisation/${entity.value.organisation.id}`;
@@ -53,10 +57,11 @@
 /**
  * Declares every entity of a deployment, new or changed.
  *
- * @param connection - to any instance
- * @param deployment - entities from a checked settings file
- * @returns revision after the last change
- * @throws ServiceError of the first change that was refused
+ * @param connection - connection to any instance
+ * @param deployment - entities from a validated settings file
+ * @returns the revision after the last change
+ * @throws ServiceError of the first change that was refused; the changes before it
+ *   stay in force
  */
 export async function applyDeployment(
   connection: OperatorConnection,
@@ -64,10 +69,13 @@
 ): Promise<number> {
   const listed = await connection.list(ProtoKind.ENTITY_KIND_UNSPECIFIED);
   const known = new Map(
-    listed.entities.map(({ entity, revision }) => [entityId(entity), revision]),
+    listed.entities.map(({ entity, revision }) => [
+      entityKeyOf(entity),
+      revision,
+    ]),
   );
   let last = listed.revision;
-  for (const { kind, fields } of inOrder(deployment)) {
+  for (const { kind, fields } of declarationsInOrder(deployment)) {
     const reply = await connection.declare({
       changeId: randomUUID(),
       entity: toProtoEntity(kind, fields),
--- a/packages/operator/src/bindServer.ts
+++ b/packages/operator/src/bindServer.ts
@@ -1,13 +1,13 @@
 import type { Server, ServerCredentials } from '@grpc/grpc-js';
 
 /**
- * Lets a gRPC server listen.
+ * Binds a gRPC server to an address and starts listening.
  *
- * @param server - with its services
- * @param address - host and port; port 0 takes any
- * @param creds - plain or TLS
- * @returns the port
- * @throws Error when the port is taken
+ * @param server - the server, with its services added
+ * @param address - host and port; port 0 selects a free port
+ * @param creds - insecure or TLS credentials
+ * @returns the port on which the server listens
+ * @throws Error when the address cannot be bound
  */
 export function bindServer(
   server: Server,
--- a/packages/operator/src/entityMessages.ts
+++ b/packages/operator/src/entityMessages.ts
@@ -3,7 +3,7 @@
 import type * as proto from './generated/jujubecroft.js';
 import { EntityKind as ProtoKind } from './generated/jujubecroft.js';
 
-/** An entity without brands, as the settings schema takes it. */
+/** An entity without branded ids, in the shape that the settings schema expects. */
 export interface RawEntity {
   readonly kind: EntityKind;
   readonly value: object;
@@ -16,9 +16,10 @@
   backendServer: ProtoKind.ENTITY_KIND_BACKEND_SERVER,
 } as const satisfies Record<EntityKind, ProtoKind>;
 
+/** @returns the kind as in a message */
 export const toProtoKind = (kind: EntityKind): ProtoKind => PROTO_KIND[kind];
 
-/** @returns undefined for an unspecified or unknown kind */
+/** @returns the kind; undefined when it is unspecified or unknown */
 export function fromProtoKind(kind: ProtoKind): EntityKind | undefined {
   return (Object.keys(PROTO_KIND) as EntityKind[]).find(
     name => PROTO_KIND[name] === kind,
@@ -26,10 +27,10 @@
 }
 
 /**
- * Turns an entity message into the shape of the settings schema.
+ * Converts an entity message to the shape of the settings schema.
  *
- * @param message - from an operator call
- * @returns undefined when the message holds no entity
+ * @param message - the message from an operator call
+ * @returns the entity, not validated; undefined when the message holds none
  */
 export function fromProtoEntity(
   message: proto.Entity | undefined,
@@ -53,14 +54,14 @@
   }
 }
 
-/** Fields that an entity may have in a settings file or on the blackboard. */
+/** Fields of an entity from a settings file or from the configuration in force. */
 type EntityFields = Readonly<Record<string, unknown>>;
 
 /**
- * Turns an entity into its message.
+ * Converts an entity to its message.
  *
- * @param kind - what it is
- * @param fields - its fields, with or without `kind`
+ * @param kind - kind of the entity
+ * @param fields - fields of the entity, with or without `kind`
  * @returns the message
  */
 export function toProtoEntity(
--- a/packages/operator/src/heartbeatMessages.ts
+++ b/packages/operator/src/heartbeatMessages.ts
@@ -4,12 +4,13 @@
 
 import type * as proto from './generated/peers.js';
 
+/** Member states by their number in a message. */
 const STATES: readonly MemberState[] = ['live', 'suspect', 'leaving', 'failed'];
 
 /**
- * Turns heartbeat facts into their message.
+ * Converts the state that an instance reports to a heartbeat message.
  *
- * @param facts - what an instance says
+ * @param facts - state of the instance and what it knows of other members
  * @returns the message
  */
 export function toHeartbeatMessage(
@@ -25,10 +26,10 @@
 }
 
 /**
- * Turns a heartbeat message into facts.
+ * Converts a heartbeat message to the state that it reports.
  *
- * @param message - as it came
- * @returns the facts; unknown states count as suspect
+ * @param message - the received message
+ * @returns the state; unknown member states are mapped to `suspect`
  */
 export function fromHeartbeatMessage(
   message: proto.HeartbeatMessage,
--- a/packages/operator/src/unary.ts
+++ b/packages/operator/src/unary.ts
@@ -9,14 +9,14 @@
 ) => ClientUnaryCall;
 
 /**
- * Calls a unary method as a promise.
+ * Calls a unary method and returns its reply as a promise.
  *
- * @param method - bound method of a generated client
+ * @param method - method of a generated client, bound to the client
  * @param req - request message
  * @param metadata - call metadata
- * @param timeoutMs - bound on the whole call
+ * @param timeoutMs - time limit for the whole call, in milliseconds
  * @returns the reply
- * @throws ServiceError as the library reports it
+ * @throws ServiceError when the call fails or times out
  */
 export function unary<Req, Res>(
   method: UnaryMethod<Req, Res>,
