--- a/packages/events/src/LineWriter.ts
+++ b/packages/events/src/LineWriter.ts
@@ -33,8 +33,8 @@
  * the main thread, buffers a bounded amount, and drops and counts further lines.
  */
 export class LineWriter {
-  #buffered: string[] = [];
-  #bufferedBytes = 0;
+  #waiting: string[] = [];
+  #waitingBytes = 0;
   #isWriting = false;
   #dropped = 0;
 
@@ -49,24 +49,24 @@
 
   /** Queues a line, given without its line break; drops it when the buffer is full. */
   write(line: string): void {
-    if (this.#bufferedBytes + line.length > MAX_BUFFERED_BYTES) {
+    if (this.#waitingBytes + line.length > MAX_BUFFERED_BYTES) {
       this.#dropped += 1;
       return;
     }
-    this.#buffered.push(line);
-    this.#bufferedBytes += line.length;
+    this.#waiting.push(line);
+    this.#waitingBytes += line.length;
     if (!this.#isWriting) {
       this.#flush();
     }
   }
 
   #flush(): void {
-    if (this.#buffered.length === 0) {
+    if (this.#waiting.length === 0) {
       return;
     }
-    const bytes = Buffer.from(`${this.#buffered.join('\n')}\n`);
-    this.#buffered = [];
-    this.#bufferedBytes = 0;
+    const bytes = Buffer.from(`${this.#waiting.join('\n')}\n`);
+    this.#waiting = [];
+    this.#waitingBytes = 0;
     this.#isWriting = true;
     this.writeBytes(bytes, () => {
       // Errors are ignored: nothing but the reader of the log depends on its lines.
--- a/packages/events/src/explainRequest.ts
+++ b/packages/events/src/explainRequest.ts
@@ -82,9 +82,9 @@
   const what = formatValue(reason ?? status);
   switch (result) {
     case 'failed':
-      return `the backend server answered with an error of its own (${what})`;
+      return `the backend server answered with a failure of its own (${what})`;
     case 'notRun':
-      return `the backend server stated that it did not run the request (${what})`;
+      return `the backend server said that it did not run the request (${what})`;
     case 'unsent':
       return `no connection to the backend server could be opened (${what})`;
     case 'withdrawn':
--- a/packages/stores/src/http/PlatformHttp.ts
+++ b/packages/stores/src/http/PlatformHttp.ts
@@ -57,8 +57,10 @@
  */
 export class PlatformHttp {
   readonly #agent: Agent;
-  readonly #withoutRetry: IPolicy;
-  readonly #withRetry: IPolicy;
+  /** Policy for calls that may be sent only once. */
+  readonly #once: IPolicy;
+  /** Policy for repeatable calls. */
+  readonly #repeated: IPolicy;
 
   constructor(private readonly options: PlatformHttpOptions) {
     this.#agent = new Agent({ connections: 8, pipelining: 1 });
@@ -66,8 +68,8 @@
       halfOpenAfter: options.halfOpenAfterMs,
       breaker: new ConsecutiveBreaker(options.breakAfter),
     });
-    this.#withoutRetry = breaker;
-    this.#withRetry = wrap(
+    this.#once = breaker;
+    this.#repeated = wrap(
       retry(handleAll, {
         maxAttempts: options.maxAttempts,
         backoff: new ExponentialBackoff({ initialDelay: INITIAL_BACKOFF_MS }),
@@ -85,7 +87,7 @@
    *   call may have taken effect
    */
   async send(call: PlatformCall): Promise<PlatformReply> {
-    const policy = call.repeatable ? this.#withRetry : this.#withoutRetry;
+    const policy = call.repeatable ? this.#repeated : this.#once;
     try {
       return await policy.execute(() => this.#attempt(call));
     } catch (cause) {
