--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,4 +1,4 @@
-// Builds dist/jujubecroft: one executable that holds Node.js and the program.
+// Builds dist/jujubecroft: a single executable that contains Node.js and the program.
 import { execFileSync } from 'node:child_process';
 import {
   chmodSync,
@@ -16,6 +16,7 @@
 const bundleFile = path.join(dist, 'jujubecroft.cjs');
 const blob = path.join(dist, 'jujubecroft.blob');
 const binary = path.join(dist, 'jujubecroft');
+/** Marker in the Node.js binary that postject looks for. */
 const FUSE = 'NODE_SEA_FUSE_fce680ab2cc467b6e072b8b5df1996b2';
 
 rmSync(dist, { recursive: true, force: true });
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,4 +1,4 @@
-// Bundles the program for a quick start: node scripts/bundle.mjs FOLDER
+// Bundles the program, with a code cache for a fast start: node scripts/bundle.mjs FOLDER
 import { spawnSync } from 'node:child_process';
 import { copyFileSync, mkdirSync, writeFileSync } from 'node:fs';
 import path from 'node:path';
@@ -6,12 +6,12 @@
 
 import { build } from 'esbuild';
 
-/** The flags that deploy/system.toml runs with; kept code fits the same flags only. */
+/** Node.js flags of deploy/system.toml. A code cache is valid only for the same flags. */
 const RUN_FLAGS = ['--max-old-space-size=160', '--max-semi-space-size=4'];
 
 const root = path.resolve(import.meta.dirname, '..');
 
-/** Optional parts of the web framework that are not installed. */
+/** Optional dependencies of the web framework that are not installed. */
 const NOT_INSTALLED = [
   '@nestjs/microservices',
   '@nestjs/microservices/*',
@@ -26,7 +26,7 @@
   'class-validator',
 ];
 
-/** Lets the gateway load the parts of libraries that it uses. */
+/** Replaces libraries by modules that load only the parts which the gateway uses. */
 const leanLibraries = {
   name: 'lean-libraries',
   setup: ({ onResolve }) => {
@@ -37,11 +37,11 @@
 };
 
 /**
- * Bundles a program with everything it loads into one CommonJS file.
+ * Bundles a program with all its dependencies into one CommonJS file.
  *
  * @param outfile - path of the bundle
- * @param entry - the program, below packages/cli/src
- * @param options - what it never loads, and further steps of the build
+ * @param entry - entry file of the program, relative to packages/cli/src
+ * @param options - modules to leave out of the bundle, and esbuild plugins
  */
 export async function bundle(
   outfile,
@@ -69,13 +69,13 @@
   });
 }
 
-/** Time in which an instance has started and looked for its store, in milliseconds. */
+/** Time within which an instance has started and tried to reach its store, in milliseconds. */
 const WARM_UP_MS = 1500;
-/** Below the ports that the system hands out; builds that run together differ. */
+/** First port of the warm-up run: below the ephemeral ports; concurrent builds use different ones. */
 const WARM_UP_PORT = 20_000;
 const WARM_UP_PORTS = 900;
 
-/** Settings of an instance that finds nobody, so that it compiles its start. */
+/** Settings of an instance without store and peers, for the warm-up run. */
 function warmUpSettings() {
   const port = WARM_UP_PORT + 10 * (process.pid % WARM_UP_PORTS);
   const at = offset => `127.0.0.1:${port + offset}`;
@@ -90,12 +90,12 @@
 }
 
 /**
- * Keeps compiled code of the gateway beside its bundle, for a quick start.
+ * Writes a code cache of the gateway next to its bundle, for a fast start.
  *
- * It runs once, so that the code of the whole start is kept. Where it can't
- * listen, what it compiled until then is.
+ * The gateway runs once, so that the cache contains the code of the whole start. If it
+ * cannot listen, the cache contains the code that was compiled until then.
  */
-function keepCode(target) {
+function writeCodeCache(target) {
   copyFileSync(
     path.join(root, 'scripts/start.cjs'),
     path.join(target, 'start.cjs'),
@@ -125,9 +125,9 @@
   await bundle(path.resolve(target, 'gateway.cjs'), 'gatewayMain.ts', {
     plugins: [leanLibraries],
   });
-  // Nobody plots on the platform.
+  // Plots are not used on the platform, so the plotting library is left out.
   await bundle(path.resolve(target, 'jujubecroft.cjs'), 'main.ts', {
     leftOut: ['echarts'],
   });
-  keepCode(path.resolve(target));
+  writeCodeCache(path.resolve(target));
 }
--- a/scripts/start.cjs
+++ b/scripts/start.cjs
@@ -1,8 +1,8 @@
-// Starts the bundle beside this file with the compiled code that the build kept.
+// Starts the bundle next to this file with the code cache that the build wrote.
 //
-// An instance that is killed is back as soon as its program is loaded, and what it
-// compiles by then is a third of that. Where the kept code doesn't fit the
-// runtime, it is left aside and the program compiled as usual.
+// An instance that was killed is available again as soon as its program is loaded, and
+// compilation takes a third of that time. V8 rejects a cache that does not match the
+// runtime; the program is then compiled as usual.
 const { existsSync, readFileSync, writeFileSync } = require('node:fs');
 const Module = require('node:module');
 const path = require('node:path');
@@ -10,22 +10,24 @@
 
 const name = process.argv[2] === 'gateway' ? 'gateway' : 'jujubecroft';
 const bundle = path.join(__dirname, `${name}.cjs`);
-const cache = path.join(__dirname, `${name}.cache`);
-/** Set by the build: the time for which the program runs to learn what it compiles. */
-const KEEP_AFTER_MS = Number(process.env.JUJUBECROFT_KEEP_CODE_MS ?? 0);
+const cacheFile = path.join(__dirname, `${name}.cache`);
+/** Set by the build: time after which the program exits and the code cache is written. */
+const WRITE_CACHE_AFTER_MS = Number(process.env.JUJUBECROFT_KEEP_CODE_MS ?? 0);
 
 const source = Module.wrap(readFileSync(bundle, 'utf8'));
 const cachedData =
-  KEEP_AFTER_MS === 0 && existsSync(cache) ? readFileSync(cache) : undefined;
+  WRITE_CACHE_AFTER_MS === 0 && existsSync(cacheFile)
+    ? readFileSync(cacheFile)
+    : undefined;
 const script = new vm.Script(source, { filename: bundle, cachedData });
 const bundled = new Module(bundle, null);
 bundled.filename = bundle;
 process.argv[1] = bundle;
-if (KEEP_AFTER_MS > 0) {
+if (WRITE_CACHE_AFTER_MS > 0) {
   process.on('exit', () => {
-    writeFileSync(cache, script.createCachedData());
+    writeFileSync(cacheFile, script.createCachedData());
   });
-  setTimeout(() => process.exit(), KEEP_AFTER_MS);
+  setTimeout(() => process.exit(), WRITE_CACHE_AFTER_MS);
 }
 script
   .runInThisContext()
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -1,20 +1,20 @@
 // Runs the tests: node scripts/test.mjs [ARGUMENTS OF AVA]
 //
-// Tests that KNOWN-RED.txt lists are passed over and printed. Each of them then runs
-// by itself and has to fail, so that the list names nothing that works again.
+// Tests listed in KNOWN-RED.txt are skipped and printed. Each of them then runs by
+// itself and has to fail, so that the list does not keep tests that pass again.
 import { spawnSync } from 'node:child_process';
 import { existsSync, readFileSync } from 'node:fs';
 import path from 'node:path';
 
 const root = path.resolve(import.meta.dirname, '..');
 const AVA = path.join(root, 'node_modules', 'ava', 'entrypoints', 'cli.mjs');
-/** How the command of an entry begins that is a test; others are plays by hand. */
+/** Prefix of the command of entries that are tests; other entries are manual runs. */
 const TEST_COMMAND = 'npx ava ';
 
 /**
- * Finds the tests among the entries of a list of known faults.
+ * Finds the tests in a list of known faults.
  *
- * @param {string} text - an entry a line, its fields parted by semicolons
+ * @param {string} text - one entry per line, with fields separated by semicolons
  * @returns {{ title: string, file: string }[]} title and file of each test
  */
 function knownRedTests(text) {
@@ -30,6 +30,7 @@
     }));
 }
 
+/** Runs ava and returns its exit status. */
 function ava(args, stdio) {
   const { status } = spawnSync(process.execPath, [AVA, ...args], {
     cwd: root,
@@ -45,15 +46,15 @@
     console.log(`Known red, passed over:\n${text.trimEnd()}`);
   }
   const red = knownRedTests(text);
-  const passedOver = red.flatMap(({ title }) => ['--match', `!*${title}*`]);
-  const status = ava([...passedOver, ...args], 'inherit');
-  const green = red.filter(
+  const exclusions = red.flatMap(({ title }) => ['--match', `!*${title}*`]);
+  const status = ava([...exclusions, ...args], 'inherit');
+  const passing = red.filter(
     ({ title, file }) => ava(['--match', `*${title}*`, file], 'ignore') === 0,
   );
-  green.forEach(({ title }) => {
+  passing.forEach(({ title }) => {
     console.error(`Known red, but it passes; take it off the list: ${title}`);
   });
-  return status === 0 && green.length > 0 ? 1 : status;
+  return status === 0 && passing.length > 0 ? 1 : status;
 }
 
 process.exitCode = main(process.argv.slice(2));
