--- a/packages/backends/src/ConnectionPools.ts
+++ b/packages/backends/src/ConnectionPools.ts
@@ -15,13 +15,13 @@
   readonly #entries = new Map<BackendServerId, Entry>();
 
   /** @returns the pool of a server, a new one when its origin has changed */
-  of(server: BackendServer): Pool {
+  poolFor(server: BackendServer): Pool {
     const { origin } = new URL(server.url);
     const known = this.#entries.get(server.id);
     if (known?.origin === origin) {
       return known.pool;
     }
-    this.renew(server.id);
+    this.discardPool(server.id);
     const pool = new Pool(origin, {
       connectTimeout: CONNECT_TIMEOUT_MS,
       keepAliveTimeout: KEEP_ALIVE_MS,
@@ -39,7 +39,7 @@
    * When one connection has gone silent, the idle ones of the pool may be dead as
    * well, so none of them is used again.
    */
-  renew(id: BackendServerId): void {
+  discardPool(id: BackendServerId): void {
     const known = this.#entries.get(id);
     this.#entries.delete(id);
     known?.pool.close().catch(() => undefined);
--- a/packages/bench/src/load/CallerAnswer.ts
+++ b/packages/bench/src/load/CallerAnswer.ts
@@ -1,4 +1,4 @@
-import type { Ran } from '@jujubecroft/types';
+import type { ExecutionStatus } from '@jujubecroft/types';
 
 import type { Outcome } from '../report/ClassTally.js';
 
@@ -7,7 +7,7 @@
   readonly outcome: Outcome;
   /** Numbered code of a refusal, 0 where there was none. */
   readonly code: number;
-  readonly ran: Ran | null;
+  readonly ran: ExecutionStatus | null;
   /** A fault in the answer itself, which no refusal excuses. */
   readonly fault: string | null;
 }
@@ -29,7 +29,7 @@
 /** An honest refusal. */
 export function refusedAnswer(
   code: number,
-  ran: Ran,
+  ran: ExecutionStatus,
   tokens: number,
 ): CallerAnswer {
   return { outcome: { kind: 'refused', tokens }, code, ran, fault: null };
--- a/packages/cli/src/report/summaryTables.ts
+++ b/packages/cli/src/report/summaryTables.ts
@@ -1,8 +1,8 @@
 import Table from 'cli-table3';
 import type {
-  DaySummary,
+  LogSummary,
   ServerSummary,
-  SizePart,
+  SizeGroup,
   SizeSummary,
   WindowSummary,
 } from '@jujubecroft/events';
@@ -39,7 +39,7 @@
   'cut',
   'left',
 ];
-const PART_NAMES: Readonly<Record<SizePart, string>> = {
+const PART_NAMES: Readonly<Record<SizeGroup, string>> = {
   largestTenth: 'largest tenth',
   nextFifth: 'fifth below',
   rest: 'the rest',
@@ -61,9 +61,9 @@
     row.left,
     Math.round(row.predictedMs),
     Math.round(row.firstMs),
-    row.errorP50.toFixed(ERROR_DIGITS),
-    row.errorP90.toFixed(ERROR_DIGITS),
-    Math.round(PERCENT * row.kept),
+    row.predictionRatioP50.toFixed(ERROR_DIGITS),
+    row.predictionRatioP90.toFixed(ERROR_DIGITS),
+    Math.round(PERCENT * row.cachedShare),
   ];
 }
 
@@ -76,8 +76,8 @@
     row.route,
     PART_NAMES[row.part],
     row.fromTokens,
-    row.asked,
-    Math.round((PERCENT * row.answered) / row.asked),
+    row.requestCount,
+    Math.round((PERCENT * row.answered) / row.requestCount),
     row.refused,
     row.cut,
     row.left,
@@ -99,7 +99,7 @@
  * @param summary - summary of the log lines
  * @returns tables of time windows, of prompt sizes and of backend servers
  */
-export function summaryTables({ windows, servers, sizes }: DaySummary): string {
+export function summaryTables({ windows, servers, sizes }: LogSummary): string {
   return [
     toTable(WINDOW_HEAD, windows.map(windowRow)),
     toTable(SIZE_HEAD, sizes.map(sizeRow)),
--- a/packages/decisions/src/gateway/AnswerLengths.ts
+++ b/packages/decisions/src/gateway/AnswerLengths.ts
@@ -1,4 +1,8 @@
-import type { PromptFacts, RouteId, RoutedService } from '@jujubecroft/types';
+import type {
+  PromptMetadata,
+  RouteId,
+  RoutedService,
+} from '@jujubecroft/types';
 
 /** Mean length of a route's answers, as observed by one instance. */
 export interface ObservedLength {
@@ -92,7 +96,7 @@
    */
   predict(
     route: RouteId,
-    prompt: PromptFacts | null,
+    prompt: PromptMetadata | null,
     service: RoutedService,
   ): number {
     const meanOrDefault = this.usual(route);
--- a/packages/decisions/src/gateway/BackendLoad.ts
+++ b/packages/decisions/src/gateway/BackendLoad.ts
@@ -1,6 +1,6 @@
 import type {
   OrganisationId,
-  PromptFacts,
+  PromptMetadata,
   Replica,
   RequestFingerprint,
   RequestId,
@@ -25,7 +25,7 @@
   /** Position in the service's priority order; 0 is the most urgent. */
   readonly priority: number;
   /** Null where the request has no prompt. */
-  readonly prompt: PromptFacts | null;
+  readonly prompt: PromptMetadata | null;
   readonly arrivedMs: number;
   /** Deadline for the end of the answer, on the local clock. */
   readonly deadlineMs: number;
--- a/packages/decisions/src/policies/recovery/RecoveryPolicy.ts
+++ b/packages/decisions/src/policies/recovery/RecoveryPolicy.ts
@@ -1,10 +1,10 @@
-import type { Ran } from '@jujubecroft/types';
+import type { ExecutionStatus } from '@jujubecroft/types';
 
 import type { RequestRecord } from '../../blackboard/RoutedRequest.js';
 
 /** How an attempt failed, as far as it is known. */
 export interface AttemptFailure {
-  readonly ran: Ran;
+  readonly ran: ExecutionStatus;
   readonly reason: 'broken' | 'refused' | 'silent';
 }
 
--- a/packages/decisions/tests/duties/exploreLease.test.ts
+++ b/packages/decisions/tests/duties/exploreLease.test.ts
@@ -1,5 +1,5 @@
-import type { DutyAct } from '@jujubecroft/testing';
-import { describe, faultOf } from '@jujubecroft/testing';
+import type { HolderCall } from '@jujubecroft/testing';
+import { describe, findLeaseViolation } from '@jujubecroft/testing';
 import { brand } from '@jujubecroft/types';
 
 import type { HolderId, LeaseState } from '../../src/index.js';
@@ -9,7 +9,7 @@
 const A = brand<HolderId>('a');
 const B = brand<HolderId>('b');
 
-function act(holder: HolderId, token: number, atMs: number): DutyAct {
+function act(holder: HolderId, token: number, atMs: number): HolderCall {
   return { holder, token, atMs };
 }
 
@@ -47,24 +47,24 @@
       act(B, 2, 4000),
       act(B, 3, 9000),
     ];
-    t.is(faultOf(acts, LEASE_MS), null);
+    t.is(findLeaseViolation(acts, LEASE_MS), null);
   });
 
   it('finds two holders with the same token', t => {
     t.is(
-      faultOf([act(A, 1, 0), act(B, 1, 9000)], LEASE_MS),
+      findLeaseViolation([act(A, 1, 0), act(B, 1, 9000)], LEASE_MS),
       'two holders with token 1',
     );
   });
 
   it('finds a call with a lower token than an earlier call', t => {
     const acts = [act(A, 1, 0), act(B, 2, 9000), act(A, 1, 20_000)];
-    t.is(faultOf(acts, LEASE_MS), 'token 1 after a higher one');
+    t.is(findLeaseViolation(acts, LEASE_MS), 'token 1 after a higher one');
   });
 
   it('finds a holder that returns within the duration of a lease', t => {
     const acts = [act(A, 1, 0), act(B, 2, 1000), act(A, 3, 2500)];
-    t.is(faultOf(acts, LEASE_MS), 'a came back within a lease');
+    t.is(findLeaseViolation(acts, LEASE_MS), 'a came back within a lease');
   });
 });
 
--- a/packages/decisions/tests/duties/helpers/exploreLease.ts
+++ b/packages/decisions/tests/duties/helpers/exploreLease.ts
@@ -1,7 +1,7 @@
 import type { InstanceId } from '@jujubecroft/types';
 import { brand } from '@jujubecroft/types';
-import type { DutyAct } from '@jujubecroft/testing';
-import { faultOf } from '@jujubecroft/testing';
+import type { HolderCall } from '@jujubecroft/testing';
+import { findLeaseViolation } from '@jujubecroft/testing';
 
 import type {
   HolderId,
@@ -31,7 +31,7 @@
   readonly agents: readonly LeaseState[];
   readonly sent: readonly SentWrite[];
   /** Calls that agents have made as the holder. */
-  readonly acts: readonly DutyAct[];
+  readonly acts: readonly HolderCall[];
 }
 
 /** Result of an exploration. */
@@ -41,7 +41,7 @@
   /** The first fault with the calls that led to it; null if there is none. */
   readonly fault: {
     readonly what: string;
-    readonly acts: readonly DutyAct[];
+    readonly acts: readonly HolderCall[];
   } | null;
 }
 
@@ -274,9 +274,11 @@
         seen.add(key);
         return isNew;
       });
-    const broken = next.find(({ acts }) => faultOf(acts, LEASE_MS) !== null);
+    const broken = next.find(
+      ({ acts }) => findLeaseViolation(acts, LEASE_MS) !== null,
+    );
     if (broken) {
-      const what = faultOf(broken.acts, LEASE_MS) ?? '';
+      const what = findLeaseViolation(broken.acts, LEASE_MS) ?? '';
       return { states: seen.size, fault: { what, acts: broken.acts } };
     }
     frontier = next;
--- a/packages/decisions/tests/gateway/AnswerLengths.test.ts
+++ b/packages/decisions/tests/gateway/AnswerLengths.test.ts
@@ -1,5 +1,9 @@
 import { describe } from '@jujubecroft/testing';
-import type { PromptFacts, RoutedService, RouteId } from '@jujubecroft/types';
+import type {
+  PromptMetadata,
+  RoutedService,
+  RouteId,
+} from '@jujubecroft/types';
 import { brand } from '@jujubecroft/types';
 
 import { AnswerLengths } from '../../src/gateway/AnswerLengths.js';
@@ -16,7 +20,7 @@
     transfer: null,
   },
 };
-const prompt = (maxOutputTokens: number): PromptFacts => ({
+const prompt = (maxOutputTokens: number): PromptMetadata => ({
   promptTokens: 100,
   maxOutputTokens,
   parts: [],
--- a/packages/events/src/index.ts
+++ b/packages/events/src/index.ts
@@ -10,9 +10,9 @@
 export type { ParsedLine } from './readLogLines.js';
 export { readLogLines } from './readLogLines.js';
 export type {
-  DaySummary,
+  LogSummary,
   ServerSummary,
   WindowSummary,
 } from './summariseLines.js';
 export { summariseLines } from './summariseLines.js';
-export type { SizePart, SizeSummary } from './summariseSizes.js';
+export type { SizeGroup, SizeSummary } from './summariseSizes.js';
--- a/packages/events/src/summariseLines.ts
+++ b/packages/events/src/summariseLines.ts
@@ -31,11 +31,11 @@
   /** Median of the actual time to the first event, in milliseconds. */
   readonly firstMs: number;
   /** Median of the ratio of the actual to the predicted time to the first event. */
-  readonly errorP50: number;
+  readonly predictionRatioP50: number;
   /** 90th percentile of the same ratio. */
-  readonly errorP90: number;
+  readonly predictionRatioP90: number;
   /** Share of the prompt tokens that the server was not expected to read: cached or copied ones. */
-  readonly kept: number;
+  readonly cachedShare: number;
 }
 
 /** Load that one backend server received. */
@@ -48,7 +48,7 @@
 }
 
 /** Summary of the log lines of any number of instances. */
-export interface DaySummary {
+export interface LogSummary {
   readonly windows: readonly WindowSummary[];
   readonly servers: readonly ServerSummary[];
   readonly sizes: readonly SizeSummary[];
@@ -120,9 +120,9 @@
       answered.map(request => request.answered),
       'firstMs',
     ),
-    errorP50: quantile(ratios, 0.5),
-    errorP90: quantile(ratios, 0.9),
-    kept: cachedShareOf(sent),
+    predictionRatioP50: quantile(ratios, 0.5),
+    predictionRatioP90: quantile(ratios, 0.9),
+    cachedShare: cachedShareOf(sent),
   };
 }
 
@@ -157,7 +157,7 @@
 export function summariseLines(
   lines: readonly ParsedLine[],
   windowS: number,
-): DaySummary {
+): LogSummary {
   const dated = lines.map(line => ({ line, ms: Date.parse(line.time) }));
   const startMs = dated.reduce(
     (earliest, { ms }) => (ms < earliest ? ms : earliest),
--- a/packages/events/src/summariseSizes.ts
+++ b/packages/events/src/summariseSizes.ts
@@ -4,16 +4,16 @@
 import { numberOf, routeOf } from './requestLines.js';
 
 /** Groups of a route's requests by prompt length: the longest 10 %, the next 20 %, the rest. */
-export type SizePart = 'largestTenth' | 'nextFifth' | 'rest';
+export type SizeGroup = 'largestTenth' | 'nextFifth' | 'rest';
 
 /** Outcomes of the requests of one route in one group of prompt lengths. */
 export interface SizeSummary {
   readonly route: string;
-  readonly part: SizePart;
+  readonly part: SizeGroup;
   /** Length of the shortest prompt in the group, in tokens. */
   readonly fromTokens: number;
   /** Requests in the group. A caller's retry counts as a request of its own. */
-  readonly asked: number;
+  readonly requestCount: number;
   readonly answered: number;
   readonly refused: number;
   readonly cut: number;
@@ -30,7 +30,7 @@
 
 function summarisePart(
   route: string,
-  part: SizePart,
+  part: SizeGroup,
   requests: readonly RequestLines[],
 ): SizeSummary {
   const ended = (id: string): number =>
@@ -39,7 +39,7 @@
     route,
     part,
     fromTokens: Math.min(...requests.map(tokensOf)),
-    asked: requests.length,
+    requestCount: requests.length,
     answered: requests.filter(({ answered }) => answered !== undefined).length,
     refused: ended('requestRefused'),
     cut: ended('requestCut'),
@@ -63,7 +63,7 @@
     const largestFirst = [...ofRoute].sort((a, b) => tokensOf(b) - tokensOf(a));
     const tenth = Math.ceil(TENTH * largestFirst.length);
     const threeTenths = Math.ceil(THREE_TENTHS * largestFirst.length);
-    const parts: readonly (readonly [SizePart, readonly RequestLines[]])[] = [
+    const parts: readonly (readonly [SizeGroup, readonly RequestLines[]])[] = [
       ['largestTenth', largestFirst.slice(0, tenth)],
       ['nextFifth', largestFirst.slice(tenth, threeTenths)],
       ['rest', largestFirst.slice(threeTenths)],
--- a/packages/events/tests/summariseLines.test.ts
+++ b/packages/events/tests/summariseLines.test.ts
@@ -68,8 +68,8 @@
     t.is(first?.lateFirst, 1);
     t.is(first?.latePauses, 1);
     t.is(first?.deferred, 1);
-    t.is(first?.errorP50, 2);
-    t.is(Math.round(100 * (first?.kept ?? 0)), 60);
+    t.is(first?.predictionRatioP50, 2);
+    t.is(Math.round(100 * (first?.cachedShare ?? 0)), 60);
     t.is(second?.fromS, 4);
     t.is(second?.answered, 0);
   });
@@ -114,12 +114,14 @@
       4,
     );
     t.deepEqual(
-      sizes.map(({ part, fromTokens, asked, answered: served }) => [
-        part,
-        fromTokens,
-        asked,
-        served,
-      ]),
+      sizes.map(
+        ({ part, fromTokens, requestCount: asked, answered: served }) => [
+          part,
+          fromTokens,
+          asked,
+          served,
+        ],
+      ),
       [
         ['largestTenth', 9000, 1, 0],
         ['nextFifth', 3000, 2, 1],
--- a/packages/gateway/src/ports/CallerDialect.ts
+++ b/packages/gateway/src/ports/CallerDialect.ts
@@ -2,7 +2,7 @@
 import type {
   BackendServerId,
   OrganisationId,
-  PromptFacts,
+  PromptMetadata,
   RequestId,
 } from '@jujubecroft/types';
 
@@ -23,7 +23,7 @@
   /**
    * Token counts and parts of the prompt; null if the request has no prompt.
    */
-  readonly prompt: PromptFacts | null;
+  readonly prompt: PromptMetadata | null;
   /**
    * Last event that the caller received of an earlier stream; null on a first
    * request.
--- a/packages/gateway/tests/duties/DutyLoop.test.ts
+++ b/packages/gateway/tests/duties/DutyLoop.test.ts
@@ -1,5 +1,5 @@
 import type { ExecutionContext } from 'ava';
-import { describe, faultOf } from '@jujubecroft/testing';
+import { describe, findLeaseViolation } from '@jujubecroft/testing';
 
 import { DUTIES, VirtualDuties } from '../helpers/VirtualDuties.js';
 
@@ -16,7 +16,7 @@
  * holder came back within a lease.
  */
 function assertValidHolders(t: ExecutionContext, fleet: VirtualDuties): void {
-  t.is(faultOf(fleet.platform.executedCalls, DUTIES.leaseMs), null);
+  t.is(findLeaseViolation(fleet.platform.executedCalls, DUTIES.leaseMs), null);
 }
 
 /** @returns windows whose report is missing or deviates by more than the tolerance */
--- a/packages/gateway/tests/helpers/VirtualDutyPlatform.ts
+++ b/packages/gateway/tests/helpers/VirtualDutyPlatform.ts
@@ -1,5 +1,5 @@
 import type { HoldingRow, HoldingWrite } from '@jujubecroft/decisions';
-import type { DutyAct } from '@jujubecroft/testing';
+import type { HolderCall } from '@jujubecroft/testing';
 
 import type {
   DutyCallResult,
@@ -19,7 +19,7 @@
 const TIMEOUT_MS = 900;
 
 /** A usage report that the platform has accepted. */
-export interface ExecutedCall extends DutyAct {
+export interface ExecutedCall extends HolderCall {
   readonly window: number;
   /** JSON of the reported counts. */
   readonly counts: string;
--- a/packages/instance/src/host/RouterHost.ts
+++ b/packages/instance/src/host/RouterHost.ts
@@ -161,7 +161,7 @@
   #cancel(record: RequestRecord, attempt: Attempt, reason: CancelReason): void {
     this.#sessions.get(record.request.id)?.handle?.cancel();
     if (reason === 'silent') {
-      this.#pools.renew(attempt.backendServer);
+      this.#pools.discardPool(attempt.backendServer);
     }
   }
 
@@ -195,7 +195,7 @@
     if (!server) {
       return;
     }
-    void fetchLoadReport(this.#pools.of(server)).then(report => {
+    void fetchLoadReport(this.#pools.poolFor(server)).then(report => {
       if (report) {
         this.router.onReport(server.id, report);
       }
--- a/packages/instance/src/host/startAttempt.ts
+++ b/packages/instance/src/host/startAttempt.ts
@@ -37,7 +37,7 @@
     delivered: session.delivered,
     deliveredTokens: attempt.resumeFrom,
   };
-  return startEngineAttempt(pools.of(server), call, {
+  return startEngineAttempt(pools.poolFor(server), call, {
     onProgress: ({ text, tokens }) => {
       // Output of a superseded attempt must not reach the caller.
       if (reporter.onTokens(attempt, tokens)) {
@@ -63,7 +63,7 @@
   const { attempt, reporter, server, pools } = options;
   const { method, path, headers, body, sink } = session;
   const call = { method, path, headers, body };
-  return startServiceAttempt(pools.of(server), call, {
+  return startServiceAttempt(pools.poolFor(server), call, {
     onProgress: reply => {
       if (reporter.onTokens(attempt, 1)) {
         sink.onProgress(reply);
--- a/packages/instance/src/state/PeerConnections.ts
+++ b/packages/instance/src/state/PeerConnections.ts
@@ -25,7 +25,7 @@
     address: string,
     message: peers.HeartbeatMessage,
   ): Promise<peers.HeartbeatMessage> {
-    const client = this.#clients.of(address);
+    const client = this.#clients.clientFor(address);
     return unary(
       client.heartbeat.bind(client),
       message,
@@ -42,7 +42,7 @@
    * @returns whether the helper reached the target
    */
   async probeFor(helper: string, target: string): Promise<boolean> {
-    const client = this.#clients.of(helper);
+    const client = this.#clients.clientFor(helper);
     const reply = await unary(
       client.probeFor.bind(client),
       { peerAddress: target },
@@ -56,7 +56,7 @@
     address: string,
     report: proto.DemandReport,
   ): Promise<proto.ShareReply> {
-    const client = this.#clients.of(address);
+    const client = this.#clients.clientFor(address);
     return unary(
       client.reportDemand.bind(client),
       report,
@@ -75,7 +75,7 @@
    *   nevertheless
    */
   async recordClaim(address: string, write: TableWrite): Promise<WriteOutcome> {
-    const client = this.#clients.of(address);
+    const client = this.#clients.clientFor(address);
     const reply = await unary(
       client.recordClaim.bind(client),
       {
@@ -95,7 +95,7 @@
     address: string,
     afterRevision: number,
   ): Promise<proto.ConfigurationReply> {
-    const client = this.#clients.of(address);
+    const client = this.#clients.clientFor(address);
     return unary(
       client.configuration.bind(client),
       { afterRevision },
--- a/packages/operator/src/ClientCache.ts
+++ b/packages/operator/src/ClientCache.ts
@@ -11,7 +11,7 @@
   constructor(private readonly create: (address: string) => Client) {}
 
   /** @returns the client of an address, created if there is none */
-  of(address: string): Client {
+  clientFor(address: string): Client {
     const known = this.#clients.get(address);
     if (known) {
       return known;
--- a/packages/testing/src/findLeaseViolation.ts
+++ b/packages/testing/src/findLeaseViolation.ts
@@ -1,5 +1,5 @@
 /** A call to the platform by an instance that held the lease for the duties of the fleet. */
-export interface DutyAct {
+export interface HolderCall {
   /** The calling instance. */
   readonly holder: string;
   /** Fencing token of the lease. */
@@ -17,8 +17,8 @@
  * @param leaseMs - duration of a lease, in milliseconds
  * @returns a description of the first violation; null where there is none
  */
-export function faultOf(
-  acts: readonly DutyAct[],
+export function findLeaseViolation(
+  acts: readonly HolderCall[],
   leaseMs: number,
 ): string | null {
   const holders = new Map<number, string>();
--- a/packages/testing/src/index.ts
+++ b/packages/testing/src/index.ts
@@ -1,4 +1,4 @@
 export type { Suite } from './describe.js';
 export { describe } from './describe.js';
-export type { DutyAct } from './findLeaseViolation.js';
-export { faultOf } from './findLeaseViolation.js';
+export type { HolderCall } from './findLeaseViolation.js';
+export { findLeaseViolation } from './findLeaseViolation.js';
--- a/packages/types/src/RouterError.ts
+++ b/packages/types/src/RouterError.ts
@@ -1,13 +1,17 @@
 import ModernError from 'modern-errors';
 
-import type { Ran, ResultCode, ResultCodeId } from './resultCodes.js';
+import type {
+  ExecutionStatus,
+  ResultCode,
+  ResultCodeId,
+} from './resultCodes.js';
 import { RESULT_CODES } from './resultCodes.js';
 
 /** Properties of a numbered error. */
 export interface RouterErrorDetail {
   readonly code: ResultCodeId;
   /** Overrides the value in the catalogue where more is known. */
-  readonly ran?: Ran;
+  readonly ran?: ExecutionStatus;
   /** Milliseconds after which a retry makes sense; 0 when unknown. */
   readonly retryAfterMs?: number;
 }
@@ -20,7 +24,7 @@
 /** A numbered error with all its properties. */
 export interface RouterErrorInstance extends Error {
   readonly code: ResultCodeId;
-  readonly ran: Ran;
+  readonly ran: ExecutionStatus;
   /** Milliseconds after which a retry makes sense; 0 when unknown. */
   readonly retryAfterMs: number;
 }
--- a/packages/types/src/index.ts
+++ b/packages/types/src/index.ts
@@ -3,7 +3,11 @@
 export type * from './configuration.js';
 export { EMPTY_CONFIGURATION } from './configuration.js';
 export type * from './decisionEvents.js';
-export type { Ran, ResultCode, ResultCodeId } from './resultCodes.js';
+export type {
+  ExecutionStatus,
+  ResultCode,
+  ResultCodeId,
+} from './resultCodes.js';
 export { RESULT_CODES } from './resultCodes.js';
 export type { RouterErrorDetail, RouterErrorInstance } from './RouterError.js';
 export {
--- a/packages/types/src/resultCodes.ts
+++ b/packages/types/src/resultCodes.ts
@@ -1,12 +1,12 @@
 /** Whether a backend server executed the request; `maybe` where that is unknown. */
-export type Ran = 'maybe' | 'no' | 'yes';
+export type ExecutionStatus = 'maybe' | 'no' | 'yes';
 
 /** One row of the result-code catalogue, which docs/ERRORS.md lists as well. */
 export interface ResultCode {
   /** Stable number by which callers and operators refer to the code. */
   readonly number: number;
   readonly httpStatus: number;
-  readonly ran: Ran;
+  readonly ran: ExecutionStatus;
   readonly summary: string;
   /** What the recipient of the code should do. */
   readonly action: string;
--- a/packages/types/src/routing.ts
+++ b/packages/types/src/routing.ts
@@ -144,7 +144,7 @@
 }
 
 /** What the headers of a request state about its prompt. */
-export interface PromptFacts {
+export interface PromptMetadata {
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
   /** From the first part of the prompt on; the last is specific to the request or its session. */
