--- a/packages/soak/src/SoakEnvironment.ts
+++ b/packages/soak/src/SoakEnvironment.ts
@@ -1,62 +1,79 @@
-import type { DutyNote, SoakBounds, SoakKind } from './evidence.js';
+import type { DutyCall, SoakBounds, SoakKind } from './evidence.js';
 
-/** How the store misbehaves towards everybody. */
+/**
+ * Fault of the store that affects all its clients.
+ *
+ * `away`: it does not answer. `losesReplies`: its replies are lost. `slow`: its
+ * replies are slow. `well`: no fault.
+ */
 export type StoreFault = 'away' | 'losesReplies' | 'slow' | 'well';
 
-/** How a replica misbehaves. */
+/**
+ * Fault of a replica, applied to a share of its responses.
+ *
+ * `garbles`: writes bytes that are not HTTP. `grey`: answers with status 500.
+ * `losesAnswers`: closes the connection without a response. `truncates`: closes
+ * the connection in the middle of the body. `well`: no fault.
+ */
 export type ReplicaFault =
   'garbles' | 'grey' | 'losesAnswers' | 'truncates' | 'well';
 
-/** A route that the operator declares for the soak. */
+/** A route in a configuration of the soak. */
 export interface SoakRoute {
   readonly name: string;
   readonly prefix: string;
   readonly kind: SoakKind;
   readonly service: string;
+  /** Maximum number of replicas that a request may be sent to. */
   readonly attempts: number;
   readonly timeoutMs: number;
 }
 
-/** A configuration for the soak. */
+/** A configuration that the soak writes to the store. */
 export interface SoakConfiguration {
   readonly version: number;
   readonly routes: readonly SoakRoute[];
   readonly services: readonly string[];
-  /** Keys by organisation. */
+  /** API keys by organisation. */
   readonly keys: ReadonlyMap<string, readonly string[]>;
 }
 
-/** The store as a server that the soak runs itself. */
+/** The store, run by the soak as a server in its own process. */
 export interface SoakStore {
   readonly host: string;
   readonly port: number;
   readonly setFault: (fault: StoreFault) => void;
+  /** Discards the history of changes, so that watches cannot resume from it. */
   readonly forgetHistory: () => void;
-  /** Calls that were made so far. */
+  /** Number of calls that the store has received so far. */
   readonly calls: () => number;
-  /** What was reported so far of the work of all gateways together. */
-  readonly dutyCalls: () => readonly DutyNote[];
-  /** Writes a configuration; it is acknowledged when this returns. */
+  /** Reports accepted so far from the gateway that holds the duty of reporting usage. */
+  readonly dutyCalls: () => readonly DutyCall[];
+  /** Writes a configuration. The write is acknowledged when this returns. */
   readonly configure: (cfg: SoakConfiguration) => void;
-  /** Told of each change of a replica's entry; false where it leaves or is gone. */
+  /**
+   * Registers a listener for changes of replica entries. `isReady` is false if the
+   * replica is leaving or its entry was removed.
+   */
   readonly onEntry: (
     listener: (replica: string, isReady: boolean) => void,
   ) => void;
   readonly close: () => Promise<void>;
 }
 
-/** Where one gateway listens and whom it knows. */
-export interface SoakGatewayPlace {
+/** Addresses and identity of one gateway process. */
+export interface SoakGatewayConfig {
   readonly index: number;
   readonly host: string;
   readonly failureDomain: string;
   readonly storeAddress: string;
-  /** Where others reach it for exchanges. */
+  /** Address at which other gateways reach this one, through its fault link. */
   readonly peerAddress: string;
+  /** Addresses of other gateways, used to join them at startup. */
   readonly seeds: readonly string[];
 }
 
-/** Addresses of a gateway, as its settings say. */
+/** Ports on which a gateway listens. */
 export interface SoakGatewayPorts {
   readonly callers: number;
   readonly readiness: number;
@@ -64,61 +81,71 @@
   readonly peers: number;
 }
 
-/** What one replica process needs to know. */
+/** Configuration of one replica process, passed to it as a JSON file. */
 export interface SoakReplicaPlace {
   readonly replica: string;
   readonly service: string;
   readonly host: string;
   readonly port: number;
-  /** Address that stands in its entry. */
+  /** Address published in the replica's entry: that of its fault link. */
   readonly entryAddress: string;
   readonly storeUrl: string;
   readonly failureDomain: string;
+  /** File to which the replica appends its `ReplicaNote`s, one JSON object per line. */
   readonly notesFile: string;
   readonly seed: number;
 }
 
-/** What a caller says with a request. */
-export interface SoakCallerHead {
+/** Request metadata that a caller sends as headers. */
+export interface SoakCallerMetadata {
   readonly id: string;
   readonly host: string;
+  /** API key. */
   readonly key: string;
   readonly timeLimitMs: number;
 }
 
-/** What a replica reads in the head of a request. */
-export interface SoakRequestHead {
+/** Request metadata that a replica reads from the headers. */
+export interface SoakRequestMetadata {
   readonly id: string | null;
   readonly timeLeftMs: number | null;
   readonly organisation: string | null;
-  /** Replica that the request is meant for; null where it doesn't say. */
+  /** Replica that the request is addressed to; null if the headers name none. */
   readonly expected: string | null;
-  /** Last event that the caller has; 0 at a start. */
+  /** Number of the last event that the caller has received; 0 for a new stream. */
   readonly after: number;
 }
 
-/** What a replica tells with an answer. */
-export interface SoakLoad {
+/** Load that a replica reports with a response. */
+export interface SoakReplicaLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
-  /** Requests a second that it takes from all gateways; null for any number. */
+  /** Rate limit over all gateways, in requests per second; null for no limit. */
   readonly limitPerS: number | null;
 }
 
 type Headers = Readonly<Record<string, string | string[] | undefined>>;
 
-/** How replicas speak in the environment. */
+/** Headers and store entries of replicas, as the environment defines them. */
 export interface SoakReplicaDialect {
-  readonly readHead: (headers: Headers) => SoakRequestHead;
+  readonly readHead: (headers: Headers) => SoakRequestMetadata;
+  /**
+   * Headers of a response.
+   *
+   * `stamp` identifies the execution of the request, as `<replica>/<request id>`.
+   */
   readonly answerHeaders: (
-    head: SoakRequestHead,
-    mark: string,
-    load: SoakLoad,
+    head: SoakRequestMetadata,
+    stamp: string,
+    load: SoakReplicaLoad,
   ) => Record<string, string>;
-  /** Headers of an answer that says that the request was not run. */
-  readonly notRunHeaders: (head: SoakRequestHead) => Record<string, string>;
-  /** Writes or removes a replica's entry; rejects when the store doesn't answer. */
+  /** Headers of a response which states that the request was not executed. */
+  readonly notRunHeaders: (head: SoakRequestMetadata) => Record<string, string>;
+  /**
+   * Writes or removes a replica's entry. Rejects if the store fails or does not
+   * respond.
+   */
   readonly announce: (
     place: SoakReplicaPlace,
     state: 'leaving' | 'ready' | 'removed',
@@ -127,26 +154,29 @@
 }
 
 /**
- * The surroundings in which the soak runs the programs.
+ * Adapter for the environment in which the soak runs the programs.
  *
- * The soak knows promises and faults; the environment knows how the surroundings
- * spell things.
+ * The soak defines the faults and the invariants. The environment supplies the
+ * store and the formats of settings, headers and paths.
  */
 export interface SoakEnvironment {
   readonly startStore: () => Promise<SoakStore>;
-  /** Content of a gateway's settings file; `note` changes nothing that matters. */
+  /**
+   * Content of a gateway's settings file. `note` is a counter that makes each
+   * version of the file differ; it has no effect on the gateway.
+   */
   readonly settingsOf: (
-    place: SoakGatewayPlace,
+    gateway: SoakGatewayConfig,
     ports: SoakGatewayPorts,
     bounds: SoakBounds,
     note: number,
   ) => string;
-  readonly callerHeaders: (head: SoakCallerHead) => Record<string, string>;
-  /** Path to ask for addresses. */
+  readonly callerHeaders: (head: SoakCallerMetadata) => Record<string, string>;
+  /** Path of the request that lists gateway addresses. */
   readonly addressesPath: string;
   readonly readinessPath: string;
-  /** Reads addresses out of an answer; empty where there are none. */
+  /** Parses gateway addresses from a response body. Empty if there are none. */
   readonly readAddresses: (body: string) => readonly string[];
-  /** Reads the mark of a run out of an answer's headers. */
+  /** Reads the stamp of an execution from response headers; null if there is none. */
   readonly readMark: (headers: Headers) => string | null;
 }
--- a/packages/soak/src/SoakFleet.ts
+++ b/packages/soak/src/SoakFleet.ts
@@ -2,7 +2,7 @@
 import path from 'node:path';
 
 import { FaultLink } from './faults/FaultLink.js';
-import { PeerLink } from './faults/PeerLink.js';
+import { PeerFaultLink } from './faults/PeerFaultLink.js';
 import { SoakProcess } from './processes/SoakProcess.js';
 import type { ReplicaNote, SoakBounds } from './evidence.js';
 import type {
@@ -12,63 +12,73 @@
   SoakStore,
 } from './SoakEnvironment.js';
 
-/** How many processes of each kind, and where. */
-export interface SoakSize {
+/** Number of processes of each kind, and where they run. */
+export interface SoakFleetOptions {
   readonly gateways: number;
   readonly replicas: number;
+  /** Folder for the settings, logs and notes of the processes. */
   readonly folder: string;
-  /** Second byte of the loopback addresses; runs beside each other differ. */
-  readonly network: number;
+  /**
+   * Second octet of the loopback addresses. Concurrent runs need different values,
+   * since the ports are fixed.
+   */
+  readonly networkOctet: number;
   readonly seed: number;
 }
 
+/** Names of the services that the replicas run. */
 export const SERVICES: readonly string[] = ['stock', 'words'];
-const DOMAINS = 3;
-const STORE_HOST = '127.0.0.1';
-const PORTS: SoakGatewayPorts = {
+const FAILURE_DOMAIN_COUNT = 3;
+const LOOPBACK_HOST = '127.0.0.1';
+const GATEWAY_PORTS: SoakGatewayPorts = {
   callers: 18_227,
   readiness: 18_220,
   directory: 18_224,
   peers: 17_340,
 };
-const REPLICA_PORT = 19_000;
-const SEEDS = 3;
+const FIRST_REPLICA_PORT = 19_000;
+/** Maximum number of seed addresses in a gateway's settings. */
+const MAX_SEEDS = 3;
 
 /**
- * Service of one run of a replica.
+ * Returns the service of one incarnation of a replica slot.
  *
- * Addresses are used again by replicas of other services, but for the first of
- * each service, so that none is ever left without a replica.
+ * A restarted replica changes to the other service, so that its address is reused
+ * by another service. The first slot of each service is exempt, so that no service
+ * is left without a replica.
  *
- * @param index - of the place
- * @param incarnation - of the run, 1 for the first
+ * @param index - index of the replica slot
+ * @param incarnation - number of the process in this slot, from 1
  */
 export function serviceOf(index: number, incarnation: number): string {
-  const moves = index < SERVICES.length ? 0 : incarnation;
-  return SERVICES[(index + moves) % SERVICES.length] ?? '';
+  const offset = index < SERVICES.length ? 0 : incarnation;
+  return SERVICES[(index + offset) % SERVICES.length] ?? '';
 }
 
-/** One gateway with the links that lead from and to it. */
+/** One gateway process with its fault links. */
 export interface SoakGateway {
   readonly index: number;
   readonly host: string;
   readonly program: SoakProcess;
+  /** Link from the gateway to the store. */
   readonly storeLink: FaultLink;
-  readonly peerLink: PeerLink;
-  /** Writes the settings file anew, with something that changes nothing. */
-  readonly touchSettings: () => void;
+  /** Link from the other gateways to this one. */
+  readonly peerLink: PeerFaultLink;
+  /** Rewrites the settings file with a change that has no effect on the gateway. */
+  readonly rewriteSettings: () => void;
 }
 
-/** One place for a replica; its process may be replaced by later runs. */
+/** One replica slot: an address at which successive replica processes run. */
 export interface SoakReplicaSlot {
   readonly index: number;
   readonly program: SoakProcess;
+  /** Link from the gateways to the replica. */
   readonly link: FaultLink;
-  /** Name of the present run. */
+  /** Name of the current incarnation. */
   readonly replica: () => string;
 }
 
-/** Store, replicas and gateways as processes, with links between them. */
+/** The store, replicas and gateways of one soak, with fault links between them. */
 export class SoakFleet {
   readonly gateways: SoakGateway[] = [];
   readonly replicas: SoakReplicaSlot[] = [];
@@ -77,50 +87,52 @@
   private constructor(
     readonly store: SoakStore,
     private readonly environment: SoakEnvironment,
-    private readonly size: SoakSize,
+    private readonly options: SoakFleetOptions,
     private readonly bounds: SoakBounds,
   ) {}
 
+  /** Starts the store and all processes. Does not wait until they are ready. */
   static async start(
     environment: SoakEnvironment,
-    size: SoakSize,
+    options: SoakFleetOptions,
     bounds: SoakBounds,
   ): Promise<SoakFleet> {
-    mkdirSync(size.folder, { recursive: true });
+    mkdirSync(options.folder, { recursive: true });
     const fleet = new SoakFleet(
       await environment.startStore(),
       environment,
-      size,
+      options,
       bounds,
     );
-    for (let index = 0; index < size.replicas; index += 1) {
+    for (let index = 0; index < options.replicas; index += 1) {
       await fleet.#addReplica(index);
     }
-    for (let index = 0; index < size.gateways; index += 1) {
+    for (let index = 0; index < options.gateways; index += 1) {
       await fleet.#addGateway(index);
     }
     return fleet;
   }
 
-  /** Address at which callers reach a gateway. */
+  /** Returns the address at which callers reach a gateway. */
   addressOf(gateway: SoakGateway): string {
-    return `${gateway.host}:${PORTS.callers}`;
+    return `${gateway.host}:${GATEWAY_PORTS.callers}`;
   }
 
-  /** Gateway that callers reach at an address. */
+  /** Returns the gateway that callers reach at an address. */
   gatewayAt(address: string): SoakGateway | undefined {
     return this.gateways.find(gateway => this.addressOf(gateway) === address);
   }
 
-  urlOf({ host }: SoakGateway, what: 'directory' | 'readiness'): string {
-    const path_ =
-      what === 'directory'
+  /** Returns the URL of one of a gateway's endpoints. */
+  urlOf({ host }: SoakGateway, endpoint: 'directory' | 'readiness'): string {
+    const pathname =
+      endpoint === 'directory'
         ? this.environment.addressesPath
         : this.environment.readinessPath;
-    return `http://${host}:${PORTS[what]}${path_}`;
+    return `http://${host}:${GATEWAY_PORTS[endpoint]}${pathname}`;
   }
 
-  /** Everything that replicas wrote down. */
+  /** Reads the notes that all replicas have written so far. */
   notes(): readonly ReplicaNote[] {
     return this.#noteFiles
       .flatMap(file => readFileSync(file, 'utf8').split('\n'))
@@ -128,6 +140,7 @@
       .map(line => JSON.parse(line) as ReplicaNote);
   }
 
+  /** Kills all processes, closes the links and stops the store. */
   async stop(): Promise<void> {
     const programs = [...this.gateways, ...this.replicas];
     await Promise.all(programs.map(({ program }) => program.kill()));
@@ -141,40 +154,40 @@
     await this.store.close();
   }
 
-  #host(index: number): string {
-    return `127.${this.size.network}.${Math.floor(index / 200)}.${(index % 200) + 1}`;
+  #hostOf(index: number): string {
+    return `127.${this.options.networkOctet}.${Math.floor(index / 200)}.${(index % 200) + 1}`;
   }
 
-  #file(name: string): string {
-    return path.join(this.size.folder, name);
+  #pathOf(name: string): string {
+    return path.join(this.options.folder, name);
   }
 
   async #addReplica(index: number): Promise<void> {
-    const port = REPLICA_PORT + index;
-    const host = this.#host(0);
+    const port = FIRST_REPLICA_PORT + index;
+    const host = this.#hostOf(0);
     const link = new FaultLink(host, port);
-    const linkPort = await link.listen(STORE_HOST);
-    const notesFile = this.#file(`replica-${index}.notes`);
+    const linkPort = await link.listen(LOOPBACK_HOST);
+    const notesFile = this.#pathOf(`replica-${index}.notes`);
     writeFileSync(notesFile, '');
     this.#noteFiles = [...this.#noteFiles, notesFile];
     const nameOf = (incarnation: number): string => `r-${index}-${incarnation}`;
     const program = new SoakProcess(incarnation => {
-      const place: SoakReplicaPlace = {
+      const config: SoakReplicaPlace = {
         replica: nameOf(incarnation),
         service: serviceOf(index, incarnation),
         host,
         port,
-        entryAddress: `${STORE_HOST}:${linkPort}`,
+        entryAddress: `${LOOPBACK_HOST}:${linkPort}`,
         storeUrl: `http://${this.store.host}:${this.store.port}`,
-        failureDomain: `domain-${index % DOMAINS}`,
+        failureDomain: `domain-${index % FAILURE_DOMAIN_COUNT}`,
         notesFile,
-        seed: this.size.seed + 31 * index + incarnation,
+        seed: this.options.seed + 31 * index + incarnation,
       };
-      const file = this.#file(`replica-${index}.json`);
-      writeFileSync(file, JSON.stringify(place));
+      const file = this.#pathOf(`replica-${index}.json`);
+      writeFileSync(file, JSON.stringify(config));
       return {
         args: ['soak', 'replica', file],
-        outFile: this.#file(`replica-${index}.log`),
+        outFile: this.#pathOf(`replica-${index}.log`),
       };
     });
     this.replicas.push({
@@ -187,38 +200,40 @@
   }
 
   async #addGateway(index: number): Promise<void> {
-    const host = this.#host(index + 1);
+    const host = this.#hostOf(index + 1);
     const storeLink = new FaultLink(this.store.host, this.store.port);
-    const storePort = await storeLink.listen(STORE_HOST);
-    const peerLink = new PeerLink(host, PORTS.peers);
+    const storePort = await storeLink.listen(LOOPBACK_HOST);
+    const peerLink = new PeerFaultLink(host, GATEWAY_PORTS.peers);
     const peerPort = await peerLink.listen(host);
     const peerAddress = `${host}:${peerPort}`;
-    const seeds = this.gateways.slice(0, SEEDS).map(other => `${other.host}:1`);
-    const file = this.#file(`gateway-${index}.json`);
-    let note = 0;
-    const touchSettings = (): void => {
-      note += 1;
+    const seeds = this.gateways
+      .slice(0, MAX_SEEDS)
+      .map(other => `${other.host}:1`);
+    const file = this.#pathOf(`gateway-${index}.json`);
+    let settingsRevision = 0;
+    const rewriteSettings = (): void => {
+      settingsRevision += 1;
       writeFileSync(
         file,
         this.environment.settingsOf(
           {
             index,
             host,
-            failureDomain: `domain-${index % DOMAINS}`,
-            storeAddress: `${STORE_HOST}:${storePort}`,
+            failureDomain: `domain-${index % FAILURE_DOMAIN_COUNT}`,
+            storeAddress: `${LOOPBACK_HOST}:${storePort}`,
             peerAddress,
             seeds,
           },
-          PORTS,
+          GATEWAY_PORTS,
           this.bounds,
-          note,
+          settingsRevision,
         ),
       );
     };
-    touchSettings();
+    rewriteSettings();
     const program = new SoakProcess(() => ({
       args: ['gateway', '--settings', file, '--peer-address', peerAddress],
-      outFile: this.#file(`gateway-${index}.log`),
+      outFile: this.#pathOf(`gateway-${index}.log`),
     }));
     this.gateways.push({
       index,
@@ -226,7 +241,7 @@
       program,
       storeLink,
       peerLink,
-      touchSettings,
+      rewriteSettings,
     });
     program.start();
   }
--- a/packages/soak/src/SoakOperator.ts
+++ b/packages/soak/src/SoakOperator.ts
@@ -1,20 +1,24 @@
-import type { Configured } from './evidence.js';
+import type { ConfigurationWrite } from './evidence.js';
 import type { SoakRoute, SoakStore } from './SoakEnvironment.js';
 import { soakNow } from './soakNow.js';
 import { SERVICES } from './SoakFleet.js';
 import { SOAK_BOUNDS } from './soakBounds.js';
 
-/** Probes' routes that stand at once; older ones are dropped. */
-const KEPT_PROBES = 3;
+/** Maximum number of probe routes in a configuration; older ones are removed. */
+const MAX_PROBE_ROUTES = 3;
 const ROUTE_TIMEOUT_MS = 5000;
-/** Versions grow by one to so many at a time. */
+/** Maximum increment between consecutive configuration versions. */
 const MAX_VERSION_STEP = 4;
-/** Keys of each organisation at first; callers use these. */
-const FIRST_KEYS: readonly (readonly [string, readonly string[]])[] = [
+/** Initial keys of each organisation. Callers use these for the whole run. */
+const INITIAL_KEYS: readonly (readonly [string, readonly string[]])[] = [
   ['org-1', ['key-1']],
   ['org-2', ['key-2']],
 ];
 
+/**
+ * Returns the routes of a configuration: one for each kind of request, and a probe
+ * route for each of the given versions.
+ */
 function routesOf(versions: readonly number[]): readonly SoakRoute[] {
   const common = {
     attempts: SOAK_BOUNDS.attempts,
@@ -54,62 +58,72 @@
   ];
 }
 
-/** Plays the operator, who changes configurations and keys. */
+/** Simulated operator, which writes configurations and adds keys. */
 export class SoakOperator {
-  readonly configured: Configured[] = [];
-  readonly #keys = new Map<string, readonly string[]>(FIRST_KEYS);
+  /** Configurations written so far, in order of writing. */
+  readonly configurationWrites: ConfigurationWrite[] = [];
+  readonly #keys = new Map<string, readonly string[]>(INITIAL_KEYS);
 
   constructor(
     private readonly store: SoakStore,
     private readonly random: () => number,
   ) {}
 
-  /** The configuration that was acknowledged last. */
-  get newest(): Configured | undefined {
-    return this.configured.at(-1);
+  /** The most recently acknowledged configuration. */
+  get latestWrite(): ConfigurationWrite | undefined {
+    return this.configurationWrites.at(-1);
   }
 
-  /** A key of an organisation that stays in force for the whole run. */
+  /** Returns a key of an organisation that stays valid for the whole run. */
   keyOf(organisation: string): string {
     return this.#keys.get(organisation)?.[0] ?? '';
   }
 
-  /** Writes a new configuration, with a route of its own to ask for. */
+  /** Writes a new configuration with its own probe route. */
   configure(): void {
     const step = 1 + Math.floor(MAX_VERSION_STEP * this.random());
-    const version = (this.newest?.version ?? 0) + step;
+    const version = (this.latestWrite?.version ?? 0) + step;
     const versions = [
-      ...this.configured.map(known => known.version),
+      ...this.configurationWrites.map(write => write.version),
       version,
-    ].slice(-KEPT_PROBES);
-    this.#dropAllBut(versions);
+    ].slice(-MAX_PROBE_ROUTES);
+    this.#markRemovedExcept(versions);
     this.store.configure({
       version,
       routes: routesOf(versions),
       services: SERVICES,
       keys: this.#keys,
     });
-    this.configured.push({ version, ackedMs: soakNow(), droppedMs: Infinity });
+    this.configurationWrites.push({
+      version,
+      ackedMs: soakNow(),
+      routeRemovedMs: Infinity,
+    });
   }
 
-  /** Gives one organisation another key beside those that it has. */
+  /** Adds a key to one organisation. Its other keys stay valid. */
   addKey(): void {
     const name = this.random() < 0.5 ? 'org-1' : 'org-2';
-    const added = `${name}-key-${this.newest?.version ?? 0}`;
+    const added = `${name}-key-${this.latestWrite?.version ?? 0}`;
     this.#keys.set(name, [...(this.#keys.get(name) ?? []), added]);
     this.configure();
   }
 
-  /** Whoever asks at this very moment may meet either configuration. */
-  #dropAllBut(versions: readonly number[]): void {
+  /**
+   * Records the removal of all probe routes but those of the given versions.
+   *
+   * Called before the configuration is written, since a gateway may apply it before
+   * the write is acknowledged.
+   */
+  #markRemovedExcept(versions: readonly number[]): void {
     const nowMs = soakNow();
-    this.configured
+    this.configurationWrites
       .filter(
-        ({ version, droppedMs }) =>
-          !versions.includes(version) && droppedMs === Infinity,
+        ({ version, routeRemovedMs }) =>
+          !versions.includes(version) && routeRemovedMs === Infinity,
       )
-      .forEach(dropped => {
-        dropped.droppedMs = nowMs;
+      .forEach(write => {
+        write.routeRemovedMs = nowMs;
       });
   }
 }
--- a/packages/soak/src/SoakOptions.ts
+++ b/packages/soak/src/SoakOptions.ts
@@ -1,16 +1,16 @@
 import type { FaultKind } from './faults/planFaults.js';
 
-/** How one soak runs. */
+/** Options of one soak. */
 export interface SoakOptions {
   readonly seed: number;
-  /** Length of the load, with the calm at its end. */
+  /** Duration of the load in seconds, including the fault-free period at its end. */
   readonly seconds: number;
-  /** Gateways and replicas together. */
+  /** Number of gateways and replicas together. */
   readonly processes: number;
-  /** Where logs and notes go. */
+  /** Folder for logs and notes. */
   readonly folder: string;
-  /** Leaves out promises that compare times. */
+  /** Whether to skip invariants that compare times. */
   readonly untimed: boolean;
-  /** Kinds of faults to draw from; all of them where omitted. */
+  /** Kinds of faults to draw from. Defaults to all. */
   readonly kinds?: readonly FaultKind[];
 }
--- a/packages/soak/src/SoakRun.ts
+++ b/packages/soak/src/SoakRun.ts
@@ -3,19 +3,19 @@
 import { createRandom } from '@jujubecroft/types';
 
 import type { WorkOrder } from './answers.js';
-import type { CallerWorld, SoakEntry } from './callers/SoakCaller.js';
-import { exchange, SoakCaller } from './callers/SoakCaller.js';
+import type { CallerContext, GatewayEndpoint } from './callers/SoakCaller.js';
+import { sendRequest, SoakCaller } from './callers/SoakCaller.js';
 import type {
-  DoneFault,
+  InjectedFault,
   Evidence,
-  Leaving,
-  SeenAnswer,
+  ReplicaDeparture,
+  ObservedResponse,
   SentRequest,
 } from './evidence.js';
-import type { FaultWorld } from './faults/injectFault.js';
+import type { FaultContext } from './faults/injectFault.js';
 import { injectFault } from './faults/injectFault.js';
 import type { PlannedFault } from './faults/planFaults.js';
-import { CALM_MS } from './faults/planFaults.js';
+import { COOLDOWN_MS } from './faults/planFaults.js';
 import { SOAK_BOUNDS } from './soakBounds.js';
 import type { SoakEnvironment } from './SoakEnvironment.js';
 import type { SoakFleet, SoakGateway } from './SoakFleet.js';
@@ -24,37 +24,38 @@
 import type { SoakOptions } from './SoakOptions.js';
 
 const CALLERS_PER_GATEWAY = 3;
-const THINK_MS = 60;
+const MEAN_THINK_TIME_MS = 60;
 const BURST_CALLERS = 12;
-const BURST_THINK_MS = 5;
-const ADDRESSES_EVERY_MS = 500;
-const PROBE_EVERY_MS = 400;
-const PROBE_LIMIT_MS = 1000;
+const BURST_MEAN_THINK_TIME_MS = 5;
+const ADDRESS_REFRESH_INTERVAL_MS = 500;
+const PROBE_INTERVAL_MS = 400;
+const PROBE_TIME_LIMIT_MS = 1000;
 const START_TIMEOUT_MS = 60_000;
-const POLL_MS = 100;
-/** Tells the load's random numbers apart from those of the faults. */
-const LOAD_SEED = 0x5eed;
-const OK = 200;
-const CRASHING_EVERY_MS = 500;
-const CRASHING: WorkOrder = {
+const READINESS_POLL_INTERVAL_MS = 100;
+/** Combined with the seed, so that the load and the fault plan draw different numbers. */
+const LOAD_SEED_MASK = 0x5eed;
+const HTTP_OK = 200;
+const CRASHING_MEAN_INTERVAL_MS = 500;
+/** Work of a request that crashes each replica that executes it. */
+const CRASHING_WORK: WorkOrder = {
   workMs: 60,
   events: 0,
   gapMs: 0,
   crashes: true,
 };
 
-/** One run of the soak over a fleet that was started. */
+/** One soak: applies load and faults to a started fleet and collects the evidence. */
 export class SoakRun {
   readonly #sent: SentRequest[] = [];
-  readonly #answers = new Map<string, SeenAnswer>();
-  readonly #faults: DoneFault[] = [];
-  readonly #leaving: Leaving[] = [];
+  readonly #answers = new Map<string, ObservedResponse>();
+  readonly #faults: InjectedFault[] = [];
+  readonly #leaving: ReplicaDeparture[] = [];
   readonly #callers: SoakCaller[] = [];
-  readonly #running: Promise<void>[] = [];
+  readonly #loops: Promise<void>[] = [];
   readonly #random: () => number;
   readonly #operator: SoakOperator;
   #addresses: readonly string[] = [];
-  #ids = 0;
+  #idCount = 0;
   #stopped = false;
 
   constructor(
@@ -62,34 +63,41 @@
     private readonly environment: SoakEnvironment,
     private readonly options: SoakOptions,
   ) {
-    this.#random = createRandom(options.seed ^ LOAD_SEED);
+    this.#random = createRandom(options.seed ^ LOAD_SEED_MASK);
     this.#operator = new SoakOperator(fleet.store, this.#random);
     fleet.store.onEntry((replica, isReady) => {
       this.#onEntry(replica, isReady);
     });
   }
 
+  /**
+   * Runs the load and the faults, and returns once all callers have stopped.
+   *
+   * @param plan - faults to inject
+   * @throws Error if a gateway does not become ready in time
+   */
   async run(plan: readonly PlannedFault[]): Promise<Evidence> {
     this.#operator.configure();
-    await this.#whenReady();
+    await this.#waitUntilReady();
     const startMs = soakNow();
     this.#startCallers();
-    const world = this.#faultWorld();
+    const context = this.#faultContext();
     const faults = plan.map(async fault => {
       await sleep(fault.atMs);
-      await injectFault(fault, world, done => this.#faults.push(done));
+      await injectFault(fault, context, done => this.#faults.push(done));
     });
     await Promise.all(faults);
-    // What the last faults began, as a slow stop, may last a little longer.
-    const calmFromMs = soakNow();
-    const restMs = startMs + 1000 * this.options.seconds - calmFromMs;
-    await sleep(Math.max(CALM_MS, restMs));
+    // Faults such as a slow stop may take longer than planned, so the fault-free
+    // period starts only after the last one has ended.
+    const cooldownFromMs = soakNow();
+    const remainingMs = startMs + 1000 * this.options.seconds - cooldownFromMs;
+    await sleep(Math.max(COOLDOWN_MS, remainingMs));
     const endMs = soakNow();
     this.#stopped = true;
     this.#callers.forEach(caller => {
       caller.stop();
     });
-    await Promise.all(this.#running);
+    await Promise.all(this.#loops);
     return {
       bounds: SOAK_BOUNDS,
       sent: this.#sent,
@@ -97,62 +105,66 @@
       notes: this.fleet.notes(),
       faults: this.#faults,
       leaving: this.#leaving,
-      configured: this.#operator.configured,
+      configurationWrites: this.#operator.configurationWrites,
       dutyCalls: this.fleet.store.dutyCalls(),
-      calmFromMs,
+      cooldownFromMs,
       endMs,
     };
   }
 
+  /** Records when a replica's entry stops being ready and when it is ready again. */
   #onEntry(replica: string, isReady: boolean): void {
     const nowMs = soakNow();
     if (!isReady) {
-      this.#leaving.push({ replica, ackedMs: nowMs, backMs: Infinity });
+      this.#leaving.push({ replica, ackedMs: nowMs, returnedMs: Infinity });
       return;
     }
     this.#leaving
-      .filter(left => left.replica === replica && left.backMs === Infinity)
-      .forEach(left => {
-        left.backMs = nowMs;
+      .filter(
+        departure =>
+          departure.replica === replica && departure.returnedMs === Infinity,
+      )
+      .forEach(departure => {
+        departure.returnedMs = nowMs;
       });
   }
 
-  async #whenReady(): Promise<void> {
+  async #waitUntilReady(): Promise<void> {
     const deadlineMs = soakNow() + START_TIMEOUT_MS;
     for (const gateway of this.fleet.gateways) {
       while (!(await this.#isReady(gateway))) {
         if (soakNow() > deadlineMs) {
           throw new Error(`gateway ${gateway.index} did not become ready`);
         }
-        await sleep(POLL_MS);
+        await sleep(READINESS_POLL_INTERVAL_MS);
       }
     }
-    await this.#readAddresses();
+    await this.#refreshAddresses();
   }
 
   async #isReady(gateway: SoakGateway): Promise<boolean> {
     return request(this.fleet.urlOf(gateway, 'readiness')).then(
       async res => {
         await res.body.dump();
-        return res.statusCode === OK;
+        return res.statusCode === HTTP_OK;
       },
       () => false,
     );
   }
 
-  async #readAddresses(): Promise<void> {
-    const up = this.fleet.gateways.filter(({ program }) => program.isUp);
-    const asked = up[Math.floor(this.#random() * up.length)];
-    if (!asked) {
+  async #refreshAddresses(): Promise<void> {
+    const up = this.fleet.gateways.filter(({ program }) => program.isRunning);
+    const gateway = up[Math.floor(this.#random() * up.length)];
+    if (!gateway) {
       return;
     }
-    const addresses = await request(this.fleet.urlOf(asked, 'directory'), {
+    const addresses = await request(this.fleet.urlOf(gateway, 'directory'), {
       signal: AbortSignal.timeout(1000),
     }).then(
       async res => this.environment.readAddresses(await res.body.text()),
       (): readonly string[] => [],
     );
-    // Callers keep what they know when they get no answer.
+    // Callers keep the previous addresses if the request fails.
     if (addresses.length > 0) {
       this.#addresses = addresses;
     }
@@ -161,79 +173,84 @@
   #startCallers(): void {
     const count = CALLERS_PER_GATEWAY * this.fleet.gateways.length;
     Array.from({ length: count }).forEach((_, index) => {
-      this.#addCaller(THINK_MS, index % 2 === 0);
+      this.#addCaller(MEAN_THINK_TIME_MS, index % 2 === 0);
     });
-    this.#repeat(ADDRESSES_EVERY_MS, () => this.#readAddresses());
+    this.#repeat(ADDRESS_REFRESH_INTERVAL_MS, () => this.#refreshAddresses());
     this.fleet.gateways.forEach(gateway => {
-      this.#repeat(PROBE_EVERY_MS, () => this.#probe(gateway));
+      this.#repeat(PROBE_INTERVAL_MS, () => this.#probe(gateway));
     });
   }
 
-  #addCaller(thinkMs: number, follows: boolean): SoakCaller {
-    const caller = new SoakCaller(this.#callerWorld(), thinkMs, follows);
+  #addCaller(meanThinkTimeMs: number, followsAddresses: boolean): SoakCaller {
+    const caller = new SoakCaller(
+      this.#callerContext(),
+      meanThinkTimeMs,
+      followsAddresses,
+    );
     this.#callers.push(caller);
-    this.#running.push(caller.run());
+    this.#loops.push(caller.run());
     return caller;
   }
 
-  #repeat(everyMs: number, step: () => Promise<void>): void {
+  /** Repeats a step until the run stops, with a pause after each. */
+  #repeat(intervalMs: number, step: () => Promise<void>): void {
     const loop = async (): Promise<void> => {
       while (!this.#stopped) {
         await step();
-        await sleep(everyMs);
+        await sleep(intervalMs);
       }
     };
-    this.#running.push(loop());
+    this.#loops.push(loop());
   }
 
-  /** Asks a gateway by itself for the newest configuration's route. */
+  /** Sends a request for the latest configuration's probe route to one gateway. */
   async #probe(gateway: SoakGateway): Promise<void> {
-    const newest = this.#operator.newest;
-    if (!gateway.program.isUp || !newest) {
+    const latestWrite = this.#operator.latestWrite;
+    if (!gateway.program.isRunning || !latestWrite) {
       return;
     }
     const address = this.fleet.addressOf(gateway);
     const client = new Client(`http://${address}`);
-    const { answer } = await exchange(
+    const { answer } = await sendRequest(
       client,
-      this.#callerWorld(),
+      this.#callerContext(),
       {
         id: this.#nextId(),
         kind: 'probe',
         gateway: gateway.index,
         incarnation: gateway.program.incarnation,
         sentMs: soakNow(),
-        timeLimitMs: PROBE_LIMIT_MS,
-        target: `/v${newest.version}/probe`,
+        timeLimitMs: PROBE_TIME_LIMIT_MS,
+        target: `/v${latestWrite.version}/probe`,
         body: '',
         organisation: 'org-1',
-        version: newest.version,
+        version: latestWrite.version,
       },
-      PROBE_LIMIT_MS,
+      PROBE_TIME_LIMIT_MS,
     );
     this.#answers.set(answer.id, answer);
     await client.destroy();
   }
 
   #nextId(): string {
-    this.#ids += 1;
-    return `q${this.options.seed}-${this.#ids}`;
+    this.#idCount += 1;
+    return `q${this.options.seed}-${this.#idCount}`;
   }
 
-  #callerWorld(): CallerWorld {
+  #callerContext(): CallerContext {
     return {
       environment: this.environment,
       random: this.#random,
-      chooseEntry: () => this.#chooseEntry(),
+      chooseGateway: () => this.#chooseGateway(),
       isListed: address => this.#addresses.includes(address),
       keyOf: organisation => this.#operator.keyOf(organisation),
       nextId: () => this.#nextId(),
       onSent: sent => this.#sent.push(sent),
-      onAnswer: answer => this.#answers.set(answer.id, answer),
+      onResponse: answer => this.#answers.set(answer.id, answer),
     };
   }
 
-  #chooseEntry(): SoakEntry | null {
+  #chooseGateway(): GatewayEndpoint | null {
     const count = this.#addresses.length;
     const address = this.#addresses[Math.floor(this.#random() * count)];
     const gateway =
@@ -247,45 +264,48 @@
       : null;
   }
 
-  /** Repeats one request at any gateway, and starts the replicas again that it ends. */
-  async #repeatCrashing(forMs: number): Promise<void> {
+  /**
+   * Repeats a request that crashes replicas, at gateways chosen at random, and
+   * restarts the replicas that have crashed.
+   */
+  async #sendCrashingRequests(forMs: number): Promise<void> {
     const untilMs = soakNow() + forMs;
     while (soakNow() < untilMs) {
-      const entry = this.#chooseEntry();
-      if (entry) {
-        void this.#sendCrashing(entry);
+      const endpoint = this.#chooseGateway();
+      if (endpoint) {
+        void this.#sendCrashingRequest(endpoint);
       }
-      await sleep(CRASHING_EVERY_MS * 2 * this.#random());
+      await sleep(CRASHING_MEAN_INTERVAL_MS * 2 * this.#random());
       this.fleet.replicas.forEach(({ program }) => {
         program.start();
       });
     }
   }
 
-  async #sendCrashing(entry: SoakEntry): Promise<void> {
-    const client = new Client(`http://${entry.address}`);
-    const { answer } = await exchange(
+  async #sendCrashingRequest(endpoint: GatewayEndpoint): Promise<void> {
+    const client = new Client(`http://${endpoint.address}`);
+    const { answer } = await sendRequest(
       client,
-      this.#callerWorld(),
+      this.#callerContext(),
       {
         id: this.#nextId(),
         kind: 'safe',
-        gateway: entry.gateway,
-        incarnation: entry.incarnation,
+        gateway: endpoint.gateway,
+        incarnation: endpoint.incarnation,
         sentMs: soakNow(),
-        timeLimitMs: PROBE_LIMIT_MS,
+        timeLimitMs: PROBE_TIME_LIMIT_MS,
         target: '/safe/crash',
-        body: JSON.stringify(CRASHING),
+        body: JSON.stringify(CRASHING_WORK),
         organisation: 'org-1',
         version: null,
       },
-      PROBE_LIMIT_MS,
+      PROBE_TIME_LIMIT_MS,
     );
     this.#answers.set(answer.id, answer);
     await client.destroy();
   }
 
-  #faultWorld(): FaultWorld {
+  #faultContext(): FaultContext {
     return {
       fleet: this.fleet,
       bounds: SOAK_BOUNDS,
@@ -295,10 +315,10 @@
       addKey: () => {
         this.#operator.addKey();
       },
-      repeatCrashing: forMs => this.#repeatCrashing(forMs),
+      sendCrashingRequests: forMs => this.#sendCrashingRequests(forMs),
       burst: forMs => {
         const callers = Array.from({ length: BURST_CALLERS }, () =>
-          this.#addCaller(BURST_THINK_MS, true),
+          this.#addCaller(BURST_MEAN_THINK_TIME_MS, true),
         );
         setTimeout(() => {
           callers.forEach(caller => {
--- a/packages/soak/src/callers/SoakCaller.ts
+++ b/packages/soak/src/callers/SoakCaller.ts
@@ -1,141 +1,150 @@
 import { Client } from 'undici';
 
 import type { WorkOrder } from '../answers.js';
-import type { SeenAnswer, SentRequest, SoakKind } from '../evidence.js';
+import type { ObservedResponse, SentRequest, SoakKind } from '../evidence.js';
 import type { SoakEnvironment } from '../SoakEnvironment.js';
 import { soakNow } from '../soakNow.js';
 
-/** A gateway as a caller finds it. */
-export interface SoakEntry {
+/** Address of a gateway, with its index and the incarnation of its process. */
+export interface GatewayEndpoint {
   readonly address: string;
   readonly gateway: number;
   readonly incarnation: number;
 }
 
-/** What callers share. */
-export interface CallerWorld {
+/** Functions and state that all callers share. */
+export interface CallerContext {
   readonly environment: SoakEnvironment;
   readonly random: () => number;
-  /** Chooses a gateway, as the newest answer of addresses says; null where there is none. */
-  readonly chooseEntry: () => SoakEntry | null;
-  /** Whether callers that follow addresses should leave this one. */
+  /** Chooses a gateway from the latest list of addresses; null if it has none. */
+  readonly chooseGateway: () => GatewayEndpoint | null;
+  /** Whether an address is in the latest list of addresses. */
   readonly isListed: (address: string) => boolean;
+  /** Returns an API key of an organisation. */
   readonly keyOf: (organisation: string) => string;
+  /** Returns a new request id. */
   readonly nextId: () => string;
   readonly onSent: (request: SentRequest) => void;
-  readonly onAnswer: (answer: SeenAnswer) => void;
+  readonly onResponse: (answer: ObservedResponse) => void;
 }
 
 export const CALLER_HOST = 'a.example';
 const KINDS: readonly SoakKind[] = ['safe', 'unsafe', 'stream', 'resumable'];
 const ORGANISATIONS: readonly string[] = ['org-1', 'org-2'];
-const MIN_LIMIT_MS = 1500;
-const LIMIT_SPAN_MS = 4000;
-/** Callers wait this much longer than they say, for an answer on its way. */
-const PATIENCE_MS = 400;
-const LEAVE_CHANCE = 0.06;
+const MIN_TIME_LIMIT_MS = 1500;
+const TIME_LIMIT_RANGE_MS = 4000;
+/** Time beyond the time limit that callers wait for a response in transit. */
+const RESPONSE_MARGIN_MS = 400;
+/** Probability that a caller abandons a request early. */
+const ABANDON_PROBABILITY = 0.06;
 const MAX_WORK_MS = 150;
 const MAX_EVENTS = 50;
 const MAX_GAP_MS = 40;
 const CONNECT_TIMEOUT_MS = 1000;
-const NO_ENTRY_PAUSE_MS = 150;
+const NO_GATEWAY_RETRY_MS = 150;
 
-/** One caller with one kept connection, asking again and again. */
+/** A caller that sends requests one at a time over a persistent connection. */
 export class SoakCaller {
   #client: Client | null = null;
-  #entry: SoakEntry | null = null;
+  #endpoint: GatewayEndpoint | null = null;
   #stopped = false;
 
   /**
-   * @param world - what callers share
-   * @param thinkMs - mean pause between requests
-   * @param follows - whether it leaves addresses that are no longer told; others
-   *   use their connection until it ends
+   * @param context - shared by all callers
+   * @param meanThinkTimeMs - mean pause between requests
+   * @param followsAddresses - whether to reconnect when the address is no longer
+   *   listed; otherwise the connection is used until it closes
    */
   constructor(
-    private readonly world: CallerWorld,
-    private readonly thinkMs: number,
-    private readonly follows: boolean,
+    private readonly context: CallerContext,
+    private readonly meanThinkTimeMs: number,
+    private readonly followsAddresses: boolean,
   ) {}
 
+  /** Sends requests until {@link SoakCaller.stop} is called. */
   async run(): Promise<void> {
     while (!this.#stopped) {
-      await this.#once();
-      const pauseMs = this.thinkMs * 2 * this.world.random();
+      await this.#sendNext();
+      const pauseMs = this.meanThinkTimeMs * 2 * this.context.random();
       await new Promise(resolve => setTimeout(resolve, pauseMs));
     }
     await this.#client?.destroy();
   }
 
+  /** Stops the caller after its current request. */
   stop(): void {
     this.#stopped = true;
   }
 
-  async #once(): Promise<void> {
-    const entry = this.#connect();
-    if (!entry || !this.#client) {
-      await new Promise(resolve => setTimeout(resolve, NO_ENTRY_PAUSE_MS));
+  async #sendNext(): Promise<void> {
+    const endpoint = this.#connect();
+    if (!endpoint || !this.#client) {
+      await new Promise(resolve => setTimeout(resolve, NO_GATEWAY_RETRY_MS));
       return;
     }
-    const request = this.#draw(entry);
-    const { answer, keeps } = await exchange(
+    const request = this.#drawRequest(endpoint);
+    const { answer, isReusable } = await sendRequest(
       this.#client,
-      this.world,
+      this.context,
       request,
-      this.#drawLeave(request),
+      this.#drawAbandonMs(request),
     );
-    this.world.onAnswer(answer);
-    if (!keeps) {
-      await this.#drop();
+    this.context.onResponse(answer);
+    if (!isReusable) {
+      await this.#disconnect();
     }
   }
 
-  #connect(): SoakEntry | null {
-    const left =
-      this.follows && this.#entry && !this.world.isListed(this.#entry.address);
-    if (left === true) {
-      void this.#drop();
+  #connect(): GatewayEndpoint | null {
+    const isUnlisted =
+      this.followsAddresses &&
+      this.#endpoint &&
+      !this.context.isListed(this.#endpoint.address);
+    if (isUnlisted === true) {
+      void this.#disconnect();
     }
     if (this.#client && !this.#client.closed && !this.#client.destroyed) {
-      return this.#entry;
+      return this.#endpoint;
     }
-    this.#entry = this.world.chooseEntry();
-    this.#client = this.#entry
-      ? new Client(`http://${this.#entry.address}`, {
+    this.#endpoint = this.context.chooseGateway();
+    this.#client = this.#endpoint
+      ? new Client(`http://${this.#endpoint.address}`, {
           pipelining: 1,
           connectTimeout: CONNECT_TIMEOUT_MS,
           headersTimeout: 0,
           bodyTimeout: 0,
         })
       : null;
-    return this.#entry;
+    return this.#endpoint;
   }
 
-  async #drop(): Promise<void> {
+  async #disconnect(): Promise<void> {
     const client = this.#client;
     this.#client = null;
-    this.#entry = null;
+    this.#endpoint = null;
     await client?.destroy();
   }
 
-  #draw(entry: SoakEntry): SentRequest {
-    const { random, nextId } = this.world;
+  #drawRequest(endpoint: GatewayEndpoint): SentRequest {
+    const { random, nextId } = this.context;
     const pick = <T>(items: readonly T[]): T =>
       items[Math.floor(random() * items.length)] as T;
     const kind = pick(KINDS);
-    const streams = kind === 'stream' || kind === 'resumable';
+    const isStreaming = kind === 'stream' || kind === 'resumable';
     const work: WorkOrder = {
       workMs: Math.round(MAX_WORK_MS * random()),
-      events: streams ? 1 + Math.floor(MAX_EVENTS * random()) : 0,
+      events: isStreaming ? 1 + Math.floor(MAX_EVENTS * random()) : 0,
       gapMs: Math.round(MAX_GAP_MS * random()),
     };
     return {
       id: nextId(),
       kind,
-      gateway: entry.gateway,
-      incarnation: entry.incarnation,
+      gateway: endpoint.gateway,
+      incarnation: endpoint.incarnation,
       sentMs: soakNow(),
-      timeLimitMs: Math.round(MIN_LIMIT_MS + LIMIT_SPAN_MS * random()),
+      timeLimitMs: Math.round(
+        MIN_TIME_LIMIT_MS + TIME_LIMIT_RANGE_MS * random(),
+      ),
       target: `/${kind}/x?n=${Math.floor(1000 * random())}`,
       body: JSON.stringify(work),
       organisation: pick(ORGANISATIONS),
@@ -143,79 +152,82 @@
     };
   }
 
-  #drawLeave({ timeLimitMs }: SentRequest): number {
-    const { random } = this.world;
-    return random() < LEAVE_CHANCE ? random() * 500 : timeLimitMs + PATIENCE_MS;
+  #drawAbandonMs({ timeLimitMs }: SentRequest): number {
+    const { random } = this.context;
+    return random() < ABANDON_PROBABILITY
+      ? random() * 500
+      : timeLimitMs + RESPONSE_MARGIN_MS;
   }
 }
 
-interface Exchanged {
-  readonly answer: SeenAnswer;
-  /** Whether the connection may be used again. */
-  readonly keeps: boolean;
+interface ExchangeResult {
+  readonly answer: ObservedResponse;
+  /** Whether the connection can be reused. */
+  readonly isReusable: boolean;
 }
 
 /**
- * Sends one request and takes its answer.
+ * Sends one request and collects its response.
  *
  * @param client - connection to a gateway
- * @param world - told of the request before it is sent
+ * @param context - `onSent` is called before the request is sent
  * @param request - the request
- * @param leaveMs - time after which the caller breaks off
- * @returns what came; never rejects
+ * @param abandonAfterMs - time after which the caller aborts the request
+ * @returns the response as far as it was received; never rejects
  */
-export async function exchange(
+export async function sendRequest(
   client: Client,
-  world: Pick<CallerWorld, 'environment' | 'keyOf' | 'onSent'>,
+  context: Pick<CallerContext, 'environment' | 'keyOf' | 'onSent'>,
   request: SentRequest,
-  leaveMs: number,
-): Promise<Exchanged> {
+  abandonAfterMs: number,
+): Promise<ExchangeResult> {
   const abort = new AbortController();
   let leftMs: number | null = null;
   const timer = setTimeout(() => {
     leftMs = soakNow();
     abort.abort();
-  }, leaveMs);
+  }, abandonAfterMs);
   let status: number | null = null;
-  let mark: string | null = null;
-  let text = '';
+  let stamp: string | null = null;
+  let body = '';
   let whole = false;
-  let keeps = false;
-  world.onSent(request);
+  let isReusable = false;
+  context.onSent(request);
   try {
     const res = await client.request({
       path: request.target,
       method: request.body === '' ? 'GET' : 'POST',
-      headers: world.environment.callerHeaders({
+      headers: context.environment.callerHeaders({
         id: request.id,
         host: CALLER_HOST,
-        key: world.keyOf(request.organisation),
+        key: context.keyOf(request.organisation),
         timeLimitMs: request.timeLimitMs,
       }),
       ...(request.body === '' ? {} : { body: request.body }),
       signal: abort.signal,
     });
     status = res.statusCode;
-    mark = world.environment.readMark(res.headers);
+    stamp = context.environment.readMark(res.headers);
     for await (const chunk of res.body as AsyncIterable<Buffer>) {
-      text += chunk.toString('utf8');
+      body += chunk.toString('utf8');
     }
     whole = true;
-    keeps = res.headers.connection !== 'close';
+    isReusable = res.headers.connection !== 'close';
   } catch {
-    // Cut, refused or left; the evidence says which, and the checks judge it.
-    keeps = false;
+    // The connection failed or the caller aborted. The invariants judge the
+    // response from what was recorded.
+    isReusable = false;
   } finally {
     clearTimeout(timer);
   }
-  const answer: SeenAnswer = {
+  const answer: ObservedResponse = {
     id: request.id,
     endedMs: soakNow(),
     status,
-    body: text,
+    body,
     whole,
     leftMs,
-    mark,
+    stamp,
   };
-  return { answer, keeps };
+  return { answer, isReusable };
 }
--- a/packages/soak/src/evidence.ts
+++ b/packages/soak/src/evidence.ts
@@ -1,74 +1,82 @@
 /**
- * What the soak sees from outside: callers' requests and answers, what reached
- * replicas, and what was done to the programs meanwhile.
+ * Observations that a soak collects from outside the programs under test: the
+ * callers' requests and responses, the requests that reached replicas, and the
+ * faults injected.
  *
- * All times are milliseconds of the machine's steady clock, which all processes
- * share.
+ * All times are in milliseconds, as returned by `soakNow`.
  */
 
-/** How a request may be treated; each kind has a route of its own. */
+/**
+ * Kind of a request, with a route for each.
+ *
+ * `safe` and `resumable` requests may be repeated; `unsafe` and `stream` requests
+ * may not. `probe` requests ask whether a configuration is in force.
+ */
 export type SoakKind = 'probe' | 'resumable' | 'safe' | 'stream' | 'unsafe';
 
-/** A request as its caller sent it. */
+/** A request as the caller sent it. */
 export interface SentRequest {
   readonly id: string;
   readonly kind: SoakKind;
-  /** Gateway that the caller was connected to. */
+  /** Index of the gateway that the caller was connected to. */
   readonly gateway: number;
-  /** Run of that gateway's process. */
+  /** Incarnation of that gateway's process. */
   readonly incarnation: number;
   readonly sentMs: number;
   readonly timeLimitMs: number;
   readonly target: string;
   readonly body: string;
-  /** Organisation that holds the caller's key. */
+  /** Organisation that the caller's key belongs to. */
   readonly organisation: string;
-  /** Configuration that a probe asks for; null for all else. */
+  /** Version of the configuration that a probe asks for; null for other kinds. */
   readonly version: number | null;
 }
 
-/** A call that one gateway made for all, as the platform carried it out. */
-export interface DutyNote {
+/** A usage report that the holder of the duty made for all gateways, as accepted. */
+export interface DutyCall {
+  /** Gateway that made the call. */
   readonly holder: string;
+  /** Fencing token of the call. */
   readonly token: number;
+  /** Index of the reporting window. */
   readonly window: number;
-  /** What it said of the window, as text. */
+  /** Counts reported for the window, as JSON text. */
   readonly counts: string;
 }
 
-/** How a request ended for its caller. */
-export interface SeenAnswer {
+/** Outcome of a request as the caller observed it. */
+export interface ObservedResponse {
   readonly id: string;
   readonly endedMs: number;
-  /** Null where no head came. */
+  /** Null if no response head was received. */
   readonly status: number | null;
   readonly body: string;
-  /** Whether the answer ended as a whole one. */
+  /** Whether the response was received to its regular end. */
   readonly whole: boolean;
-  /** Whether the caller itself broke off. */
+  /** Time at which the caller aborted the request; null if it did not. */
   readonly leftMs: number | null;
-  /** Mark of the run that the answer claims to come from; null where it has none. */
-  readonly mark: string | null;
+  /** Stamp of the execution that produced the response; null if it has none. */
+  readonly stamp: string | null;
 }
 
-/** What a replica writes down. */
+/** An entry that a replica writes to its notes file. */
 export type ReplicaNote =
   | {
       readonly type: 'got';
       readonly id: string;
-      /** Run of the replica's process; its entries and marks bear it. */
+      /** Name of the replica's incarnation, as in its store entry and its stamps. */
       readonly replica: string;
       readonly service: string;
       readonly atMs: number;
-      /** False where the replica turned the request away. */
+      /** False if the replica refused the request. */
       readonly ran: boolean;
       readonly target: string;
       readonly body: string;
       readonly organisation: string | null;
       readonly timeLeftMs: number | null;
-      /** Last event before the first that is asked for; 0 at a start. */
+      /** Number of the last event that the caller has received; 0 for a new stream. */
       readonly after: number;
-      /** When the replica means to have ended. */
+      /** Time at which the work is expected to end. */
       readonly endsMs: number;
     }
   | {
@@ -76,86 +84,96 @@
       readonly id: string;
       readonly replica: string;
       readonly atMs: number;
-      /** Whether the whole answer was written before. */
+      /** Whether the whole response had been written by then. */
       readonly whole: boolean;
     }
   | {
       readonly type: 'limit';
       readonly replica: string;
       readonly atMs: number;
-      /** Requests a second that it names from now on; null for any number. */
+      /** New rate limit in requests per second; null for no limit. */
       readonly perS: number | null;
     };
 
 export type LimitNote = Extract<ReplicaNote, { type: 'limit' }>;
-export type GotNote = Extract<ReplicaNote, { type: 'got' }>;
+export type ReceivedNote = Extract<ReplicaNote, { type: 'got' }>;
 export type ClosedNote = Extract<ReplicaNote, { type: 'closed' }>;
 
-/** What a fault or planned change was done to. */
+/** Component that a fault or planned change affects. */
 export interface FaultTarget {
-  readonly what: 'configuration' | 'gateway' | 'replica' | 'store';
-  /** Null for all of them. */
+  readonly component: 'configuration' | 'gateway' | 'replica' | 'store';
+  /** Index of the gateway or replica; null if not limited to one. */
   readonly index: number | null;
 }
 
-/** A fault or planned change, with the time until its direct effects were over. */
-export interface DoneFault {
+/** An injected fault or planned change, with the span of its direct effects. */
+export interface InjectedFault {
   readonly kind: string;
   readonly target: FaultTarget;
   readonly fromMs: number;
-  /** Infinity while it lasts. */
+  /** Infinity until the fault has ended. */
   toMs: number;
-  /** Whether operators do such a thing on purpose. */
+  /** Whether it is a planned operation rather than a failure. */
   readonly planned: boolean;
 }
 
-/** A replica that began to leave, by the store's acknowledgement. */
-export interface Leaving {
+/** A replica whose entry stopped being ready, as acknowledged by the store. */
+export interface ReplicaDeparture {
   readonly replica: string;
   readonly ackedMs: number;
   /**
-   * When its entry was back, as after a pause in which it ran out; Infinity where
-   * it left for good.
+   * Time at which the entry was ready again, for example after a pause in which it
+   * expired; Infinity if it never was.
    */
-  backMs: number;
+  returnedMs: number;
 }
 
-/** A configuration, by the store's acknowledgement. */
-export interface Configured {
+/** A configuration that was written to the store. */
+export interface ConfigurationWrite {
   readonly version: number;
+  /** Time at which the store acknowledged the write. */
   readonly ackedMs: number;
-  /** When a later one took its probe's route away; Infinity while it stands. */
-  droppedMs: number;
+  /** Time at which a later configuration removed its probe route, or Infinity. */
+  routeRemovedMs: number;
 }
 
-/** Bounds that the programs were started with, and that promises are checked against. */
+/**
+ * Bounds that the invariants are checked against. Some are also settings of the
+ * gateways.
+ */
 export interface SoakBounds {
-  /** Time without faults after which a gateway is held to bounds in time. */
-  readonly contactMs: number;
+  /** Time without faults after which time bounds apply to a gateway. */
+  readonly faultFreeMs: number;
+  /** Time after which a leaving replica gets no more requests. */
   readonly drainMs: number;
+  /** Time that a stopping gateway has to finish its requests. */
   readonly graceMs: number;
-  readonly configurationMs: number;
+  /** Time until an acknowledged configuration is in force at every gateway. */
+  readonly configurationPropagationMs: number;
+  /** Retries per request that the shared retry budget allows. */
   readonly retryRatio: number;
+  /** Retries in a window that are allowed regardless of the number of requests. */
   readonly retryExtra: number;
+  /** Length of the window over which retries are counted. */
   readonly retryWindowMs: number;
-  /** Replicas that one request may be sent to. */
+  /** Maximum number of replicas that a request may be sent to. */
   readonly attempts: number;
-  /** Slack for the machine that the soak runs on, beyond each bound in time. */
+  /** Tolerance added to each time bound, for scheduling delays of the machine. */
   readonly slackMs: number;
 }
 
-/** Everything that was seen in one run. */
+/** All observations of one run. */
 export interface Evidence {
   readonly bounds: SoakBounds;
   readonly sent: readonly SentRequest[];
-  readonly answers: ReadonlyMap<string, SeenAnswer>;
+  readonly answers: ReadonlyMap<string, ObservedResponse>;
   readonly notes: readonly ReplicaNote[];
-  readonly faults: readonly DoneFault[];
-  readonly leaving: readonly Leaving[];
-  readonly configured: readonly Configured[];
-  /** When the last fault was over and calm began. */
-  readonly calmFromMs: number;
+  readonly faults: readonly InjectedFault[];
+  readonly leaving: readonly ReplicaDeparture[];
+  readonly configurationWrites: readonly ConfigurationWrite[];
+  /** Time at which the last fault had ended. */
+  readonly cooldownFromMs: number;
   readonly endMs: number;
-  /** Calls that one gateway made for all, in the order in which they were done. */
-  readonly dutyCalls: readonly DutyNote[];
+  /** Accepted usage reports, in order of acceptance. */
+  readonly dutyCalls: readonly DutyCall[];
 }
--- a/packages/soak/src/faults/DatagramLink.ts
+++ b/packages/soak/src/faults/DatagramLink.ts
@@ -3,31 +3,31 @@
 
 import type { LinkMode } from './FaultLink.js';
 
-/** Senders that are remembered at once; a fleet has far fewer. */
+/** Maximum number of senders with a socket at once. A fleet has far fewer. */
 const MAX_SENDERS = 512;
 
 /**
- * A loopback forwarder of datagrams between one program and others, with faults of
- * networks. What comes while the link is cut is lost.
+ * Loopback proxy that forwards datagrams to one program, with injected network
+ * faults. Datagrams that arrive while the link is cut are lost.
  */
 export class DatagramLink {
-  readonly #near = createSocket('udp4');
-  /** One socket for each sender, so that answers find their way back. */
-  readonly #far = new Map<string, Socket>();
+  readonly #listener = createSocket('udp4');
+  /** One socket for each sender, so that replies can be routed back to it. */
+  readonly #upstreams = new Map<string, Socket>();
   #mode: LinkMode = { kind: 'well' };
   #closed = false;
 
   /**
-   * @param targetHost - where datagrams lead
-   * @param targetPort - its port
+   * @param targetHost - host to which datagrams are forwarded
+   * @param targetPort - port of the target
    */
   constructor(
     private readonly targetHost: string,
     private readonly targetPort: number,
   ) {
-    this.#near.on('message', (bytes, { address, port }) => {
-      this.#carry('cutForth', () => {
-        this.#farOf(address, port).send(
+    this.#listener.on('message', (bytes, { address, port }) => {
+      this.#forward('cutForth', () => {
+        this.#upstreamOf(address, port).send(
           bytes,
           this.targetPort,
           this.targetHost,
@@ -39,54 +39,54 @@
   /** Listens on a port. */
   async listen(host: string, port: number): Promise<void> {
     await new Promise<void>((resolve, reject) => {
-      this.#near.once('error', reject);
-      this.#near.bind(port, host, resolve);
+      this.#listener.once('error', reject);
+      this.#listener.bind(port, host, resolve);
     });
   }
 
-  /** Changes how the link treats datagrams. */
-  set(mode: LinkMode): void {
+  /** Sets the mode for all datagrams from now on. */
+  setMode(mode: LinkMode): void {
     this.#mode = mode;
   }
 
   close(): void {
     this.#closed = true;
-    this.#near.close();
-    this.#far.forEach(socket => {
+    this.#listener.close();
+    this.#upstreams.forEach(socket => {
       socket.close();
     });
   }
 
-  #farOf(address: string, port: number): Socket {
+  #upstreamOf(address: string, port: number): Socket {
     const sender = `${address}:${port}`;
-    const known = this.#far.get(sender);
-    if (known) {
-      return known;
+    const existing = this.#upstreams.get(sender);
+    if (existing) {
+      return existing;
     }
-    this.#forgetOldest();
+    this.#evictOldest();
     const socket = createSocket('udp4');
     socket.on('message', bytes => {
-      this.#carry('cutBack', () => {
-        this.#near.send(bytes, port, address);
+      this.#forward('cutBack', () => {
+        this.#listener.send(bytes, port, address);
       });
     });
     socket.on('error', () => {
-      // The target is down for now; what is sent to it is lost.
+      // The target is down. Datagrams sent to it are lost.
     });
-    this.#far.set(sender, socket);
+    this.#upstreams.set(sender, socket);
     return socket;
   }
 
-  #forgetOldest(): void {
-    const [oldest] = this.#far;
-    if (oldest && this.#far.size >= MAX_SENDERS) {
+  #evictOldest(): void {
+    const [oldest] = this.#upstreams;
+    if (oldest && this.#upstreams.size >= MAX_SENDERS) {
       const [sender, socket] = oldest;
-      this.#far.delete(sender);
+      this.#upstreams.delete(sender);
       socket.close();
     }
   }
 
-  #carry(cut: 'cutBack' | 'cutForth', send: () => void): void {
+  #forward(cut: 'cutBack' | 'cutForth', send: () => void): void {
     const mode = this.#mode;
     if (mode.kind === 'away' || mode.kind === cut) {
       return;
--- a/packages/soak/src/faults/FaultLink.ts
+++ b/packages/soak/src/faults/FaultLink.ts
@@ -3,7 +3,12 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { listenOn } from '@jujubecroft/stand-ins/util';
 
-/** How a link treats what goes over it. */
+/**
+ * Mode of a link, as seen from the connecting side.
+ *
+ * `away`: cut in both directions. `cutForth`: cut towards the target. `cutBack`: cut
+ * towards the connecting side. `delay`: delayed in both directions. `well`: no fault.
+ */
 export type LinkMode =
   | { readonly kind: 'away' }
   | { readonly kind: 'cutBack' }
@@ -11,126 +16,133 @@
   | { readonly kind: 'delay'; readonly ms: number }
   | { readonly kind: 'well' };
 
-const WELL: LinkMode = { kind: 'well' };
+const NO_FAULT: LinkMode = { kind: 'well' };
 
-/** Both ends of one connection through the link. */
-interface Pair {
-  readonly near: Socket;
-  readonly far: Socket;
-  /** Whether the connection has gone silent for good. */
+/** Both sockets of one connection through the link. */
+interface ProxiedConnection {
+  readonly downstream: Socket;
+  readonly upstream: Socket;
+  /** Whether the connection is permanently silent. */
   silenced: boolean;
 }
 
 /**
- * A loopback proxy between one program and another, with faults of networks.
+ * Loopback TCP proxy between two programs, with injected network faults.
  *
- * What is held up while a link is cut arrives when it heals, unless an end gives
- * the connection up before, as on real networks.
+ * As on a real network, data that is held back while the link is cut is delivered
+ * when the cut ends, unless either end closes the connection before.
  */
 export class FaultLink {
   readonly #server: Server;
-  readonly #pairs = new Set<Pair>();
-  #mode: LinkMode = WELL;
+  readonly #connections = new Set<ProxiedConnection>();
+  #mode: LinkMode = NO_FAULT;
 
   /**
-   * @param targetHost - where connections lead
-   * @param targetPort - its port
+   * @param targetHost - host to which connections are forwarded
+   * @param targetPort - port of the target
    */
   constructor(
     private readonly targetHost: string,
     private readonly targetPort: number,
   ) {
-    this.#server = createServer({ allowHalfOpen: true }, near => {
-      this.#open(near);
+    this.#server = createServer({ allowHalfOpen: true }, downstream => {
+      this.#open(downstream);
     });
   }
 
-  /** Listens on any free port, and returns it. */
+  /** Listens on any free port and returns it. */
   async listen(host: string): Promise<number> {
     return listenOn(this.#server, host);
   }
 
-  /** Changes how the link treats all connections, open ones too. */
-  set(mode: LinkMode): void {
+  /** Sets the mode of all connections, including open ones. */
+  setMode(mode: LinkMode): void {
     this.#mode = mode;
-    this.#pairs.forEach(pair => {
-      this.#apply(pair);
+    this.#connections.forEach(connection => {
+      this.#applyMode(connection);
     });
   }
 
-  /** Resets every open connection; new ones work. */
+  /** Resets every open connection. New connections are not affected. */
   resetAll(): void {
-    this.#pairs.forEach(({ near, far }) => {
-      near.resetAndDestroy();
-      far.resetAndDestroy();
+    this.#connections.forEach(({ downstream, upstream }) => {
+      downstream.resetAndDestroy();
+      upstream.resetAndDestroy();
     });
   }
 
-  /** Silences every open connection for good, without a sign; new ones work. */
+  /**
+   * Stops forwarding on every open connection permanently, without closing it. New
+   * connections are not affected.
+   */
   silenceAll(): void {
-    this.#pairs.forEach(pair => {
-      pair.silenced = true;
-      this.#apply(pair);
+    this.#connections.forEach(connection => {
+      connection.silenced = true;
+      this.#applyMode(connection);
     });
   }
 
   close(): void {
     this.#server.close();
-    this.#pairs.forEach(({ near, far }) => {
-      near.destroy();
-      far.destroy();
+    this.#connections.forEach(({ downstream, upstream }) => {
+      downstream.destroy();
+      upstream.destroy();
     });
   }
 
-  #open(near: Socket): void {
-    const far = connect({
+  #open(downstream: Socket): void {
+    const upstream = connect({
       host: this.targetHost,
       port: this.targetPort,
       allowHalfOpen: true,
       noDelay: true,
     });
-    near.setNoDelay(true);
-    const pair: Pair = { near, far, silenced: false };
-    this.#pairs.add(pair);
-    this.#carry(near, far);
-    this.#carry(far, near);
-    const drop = (): void => {
-      // A silenced connection doesn't tell the other end that one is gone.
-      if (pair.silenced || this.#mode.kind === 'away') {
+    downstream.setNoDelay(true);
+    const connection: ProxiedConnection = {
+      downstream,
+      upstream,
+      silenced: false,
+    };
+    this.#connections.add(connection);
+    this.#forward(downstream, upstream);
+    this.#forward(upstream, downstream);
+    const destroyBoth = (): void => {
+      // On a silent or cut connection, the close of one end is not visible to the other.
+      if (connection.silenced || this.#mode.kind === 'away') {
         return;
       }
-      near.destroy();
-      far.destroy();
+      downstream.destroy();
+      upstream.destroy();
     };
-    [near, far].forEach(socket => {
+    [downstream, upstream].forEach(socket => {
       socket.on('error', () => {
-        // Either end may reset at any time; that is what links are for here.
-        drop();
+        // Either end may reset the connection at any time as part of a fault.
+        destroyBoth();
       });
       socket.on('close', () => {
-        drop();
-        if (near.destroyed && far.destroyed) {
-          this.#pairs.delete(pair);
+        destroyBoth();
+        if (downstream.destroyed && upstream.destroyed) {
+          this.#connections.delete(connection);
         }
       });
     });
-    this.#apply(pair);
+    this.#applyMode(connection);
   }
 
-  #carry(from: Socket, to: Socket): void {
-    // One after the other: bytes that were delayed must not be overtaken by
-    // those that come when the delay is over.
-    let before = Promise.resolve();
-    const inTurn = (step: () => void): void => {
+  #forward(from: Socket, to: Socket): void {
+    // Chunks are written strictly in order: a delayed chunk must not be overtaken
+    // by one that arrives after the delay has ended.
+    let previous = Promise.resolve();
+    const enqueue = (action: () => void): void => {
       const ms = this.#mode.kind === 'delay' ? this.#mode.ms : 0;
-      const due = ms > 0 ? sleep(ms) : null;
-      before = before.then(async () => {
-        await due;
-        step();
+      const delayed = ms > 0 ? sleep(ms) : null;
+      previous = previous.then(async () => {
+        await delayed;
+        action();
       });
     };
     from.on('data', (chunk: Buffer) => {
-      inTurn(() => {
+      enqueue(() => {
         if (to.writable && !to.write(chunk)) {
           from.pause();
           to.once('drain', () => from.resume());
@@ -138,21 +150,21 @@
       });
     });
     from.on('end', () => {
-      inTurn(() => to.end());
+      enqueue(() => to.end());
     });
   }
 
-  #apply({ near, far, silenced }: Pair): void {
+  #applyMode({ downstream, upstream, silenced }: ProxiedConnection): void {
     const { kind } = this.#mode;
-    const stopsForth = silenced || kind === 'away' || kind === 'cutForth';
-    const stopsBack = silenced || kind === 'away' || kind === 'cutBack';
-    hold(near, stopsForth);
-    hold(far, stopsBack);
+    const holdsForward = silenced || kind === 'away' || kind === 'cutForth';
+    const holdsBackward = silenced || kind === 'away' || kind === 'cutBack';
+    setPaused(downstream, holdsForward);
+    setPaused(upstream, holdsBackward);
   }
 }
 
-function hold(socket: Socket, stops: boolean): void {
-  if (stops) {
+function setPaused(socket: Socket, isPaused: boolean): void {
+  if (isPaused) {
     socket.pause();
     return;
   }
--- a/packages/soak/src/faults/faultTargets.ts
+++ b/packages/soak/src/faults/faultTargets.ts
@@ -2,8 +2,8 @@
 import type { SoakFleet } from '../SoakFleet.js';
 import type { FaultKind, PlannedFault } from './planFaults.js';
 
-/** Changes that operators make on purpose and that must disturb nobody. */
-const PLANNED: readonly FaultKind[] = [
+/** Planned operations, which must not affect callers. */
+const PLANNED_KINDS: readonly FaultKind[] = [
   'configuration-change',
   'configuration-storm',
   'gateway-reload',
@@ -13,39 +13,39 @@
   'replica-drain',
 ];
 
-/** Whether a kind is something that operators do on purpose. */
+/** Whether a kind is a planned operation rather than a failure. */
 export function isPlanned(kind: FaultKind): boolean {
-  return PLANNED.includes(kind);
+  return PLANNED_KINDS.includes(kind);
 }
 
 /**
- * What a fault is done to.
+ * Returns the target of a fault.
  *
- * @param fault - of a plan
- * @param fleet - tells how many targets there are
+ * @param fault - planned fault; its drawn number selects the target
+ * @param fleet - fleet whose gateways and replicas are the possible targets
  */
 export function targetOf(
   { kind, target }: PlannedFault,
   fleet: Pick<SoakFleet, 'gateways' | 'replicas'>,
 ): FaultTarget {
   if (kind === 'gateway-rolling-stop' || kind === 'gateways-kill-all') {
-    return { what: 'gateway', index: null };
+    return { component: 'gateway', index: null };
   }
   if (
     kind.startsWith('configuration') ||
     kind === 'key-added' ||
     kind === 'burst'
   ) {
-    return { what: 'configuration', index: null };
+    return { component: 'configuration', index: null };
   }
   if (kind === 'crashing-request') {
-    return { what: 'replica', index: null };
+    return { component: 'replica', index: null };
   }
   if (kind.startsWith('replica')) {
-    return { what: 'replica', index: target % fleet.replicas.length };
+    return { component: 'replica', index: target % fleet.replicas.length };
   }
   if (kind.startsWith('store') && !kind.startsWith('store-link')) {
-    return { what: 'store', index: null };
+    return { component: 'store', index: null };
   }
-  return { what: 'gateway', index: target % fleet.gateways.length };
+  return { component: 'gateway', index: target % fleet.gateways.length };
 }
--- a/packages/soak/src/faults/injectFault.ts
+++ b/packages/soak/src/faults/injectFault.ts
@@ -1,78 +1,78 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { assertDefined } from '@jujubecroft/types';
 
-import type { DoneFault, SoakBounds } from '../evidence.js';
+import type { InjectedFault, SoakBounds } from '../evidence.js';
 import type { SoakFleet, SoakGateway, SoakReplicaSlot } from '../SoakFleet.js';
 import type { ReplicaFault, StoreFault } from '../SoakEnvironment.js';
 import { soakNow } from '../soakNow.js';
 import type { SoakProcess } from '../processes/SoakProcess.js';
 import type { FaultLink, LinkMode } from './FaultLink.js';
-import type { PeerLink } from './PeerLink.js';
+import type { PeerFaultLink } from './PeerFaultLink.js';
 import { isPlanned, targetOf } from './faultTargets.js';
 import type { FaultKind, PlannedFault } from './planFaults.js';
 
-/** What faults may do beside processes and links. */
-export interface FaultWorld {
+/** Fleet and actions that the injectors of faults use. */
+export interface FaultContext {
   readonly fleet: SoakFleet;
   readonly bounds: SoakBounds;
-  /** Puts another configuration in force. */
+  /** Writes a new configuration. */
   readonly changeConfiguration: () => void;
-  /** Gives an organisation another key. */
+  /** Adds a key to an organisation. */
   readonly addKey: () => void;
-  /** Repeats a request that ends each replica that runs it. */
-  readonly repeatCrashing: (forMs: number) => Promise<void>;
-  /** Lets more callers come for a while. */
+  /** Repeats a request that crashes each replica that executes it. */
+  readonly sendCrashingRequests: (forMs: number) => Promise<void>;
+  /** Adds callers for a while. */
   readonly burst: (forMs: number) => void;
 }
 
-/** Told of a fault at its start; its end is filled in later. */
-type DoneListener = (done: DoneFault) => void;
+/** Called with a fault at its start. Its `toMs` is set when the fault ends. */
+type FaultListener = (injected: InjectedFault) => void;
 
 type Injector = (
   fault: PlannedFault,
-  world: FaultWorld,
-  onDone: DoneListener,
+  context: FaultContext,
+  onStart: FaultListener,
 ) => Promise<void>;
 
-/** Pause before a process that ended is started again. */
-const RESTART_MS = 250;
+/** Delay before a process is restarted. */
+const RESTART_DELAY_MS = 250;
 const STORM_CHANGES = 6;
 const STORM_GAP_MS = 120;
 const ROLLING_GAP_MS = 400;
 const MAX_DELAY_MS = 400;
-const MAX_LIMIT_PER_S = 6;
-/** A replica goes on serving this much longer than it must. */
+const MAX_RATE_LIMIT_PER_S = 6;
+/** Time that a leaving replica keeps serving beyond the drain time. */
 const LINGER_MS = 500;
 
 const gatewayOf = (
-  world: FaultWorld,
+  context: FaultContext,
   { target }: PlannedFault,
 ): SoakGateway => {
-  const { gateways } = world.fleet;
+  const { gateways } = context.fleet;
   return assertDefined(
     gateways[target % gateways.length],
-    'a fleet has gateways',
+    'a fleet has at least one gateway',
   );
 };
 const replicaOf = (
-  world: FaultWorld,
+  context: FaultContext,
   { target }: PlannedFault,
 ): SoakReplicaSlot => {
-  const { replicas } = world.fleet;
+  const { replicas } = context.fleet;
   return assertDefined(
     replicas[target % replicas.length],
-    'a fleet has replicas',
+    'a fleet has at least one replica',
   );
 };
 
 async function restart(program: SoakProcess): Promise<void> {
-  await sleep(RESTART_MS);
+  await sleep(RESTART_DELAY_MS);
   program.start();
 }
 
 async function stopGateway(
   gateway: SoakGateway,
-  { bounds }: FaultWorld,
+  { bounds }: FaultContext,
 ): Promise<void> {
   gateway.program.signal('SIGTERM');
   await gateway.program.ended(bounds.graceMs);
@@ -91,36 +91,42 @@
   program.resume();
 }
 
-/** Something that is done at once and has nothing to undo. */
-function atOnce(
-  act: (world: FaultWorld, fault: PlannedFault) => void,
+/** Returns an injector for a fault that takes effect at once and is not undone. */
+function immediate(
+  action: (context: FaultContext, fault: PlannedFault) => void,
 ): Injector {
-  return (fault, world) => {
-    act(world, fault);
+  return (fault, context) => {
+    action(context, fault);
     return Promise.resolve();
   };
 }
 
+/** Returns an injector that sets the mode of a link for the duration of the fault. */
 function onLink(
-  linkOf: (world: FaultWorld, fault: PlannedFault) => FaultLink | PeerLink,
+  linkOf: (
+    context: FaultContext,
+    fault: PlannedFault,
+  ) => FaultLink | PeerFaultLink,
   modeOf: (fault: PlannedFault) => LinkMode,
 ): Injector {
-  return async (fault, world) => {
-    const link = linkOf(world, fault);
-    link.set(modeOf(fault));
+  return async (fault, context) => {
+    const link = linkOf(context, fault);
+    link.setMode(modeOf(fault));
     await sleep(fault.forMs);
-    link.set({ kind: 'well' });
+    link.setMode({ kind: 'well' });
   };
 }
 
-const storeLinkOf = (world: FaultWorld, fault: PlannedFault): FaultLink =>
-  gatewayOf(world, fault).storeLink;
-const peerLinkOf = (world: FaultWorld, fault: PlannedFault): PeerLink =>
-  gatewayOf(world, fault).peerLink;
-const replicaLinkOf = (world: FaultWorld, fault: PlannedFault): FaultLink =>
-  replicaOf(world, fault).link;
+const storeLinkOf = (context: FaultContext, fault: PlannedFault): FaultLink =>
+  gatewayOf(context, fault).storeLink;
+const peerLinkOf = (
+  context: FaultContext,
+  fault: PlannedFault,
+): PeerFaultLink => gatewayOf(context, fault).peerLink;
+const replicaLinkOf = (context: FaultContext, fault: PlannedFault): FaultLink =>
+  replicaOf(context, fault).link;
 
-/** One of three ways to be cut off: both ways, or one of them. */
+/** Cuts a link in both directions or in one of them, depending on the strength. */
 function cutMode({ strength }: PlannedFault): LinkMode {
   const kinds = ['away', 'cutForth', 'cutBack'] as const;
   return { kind: kinds[Math.floor(strength * kinds.length)] ?? 'away' };
@@ -140,88 +146,91 @@
 }
 
 function replicaFault(kind: ReplicaFault): Injector {
-  return async (fault, world) => {
-    const { program } = replicaOf(world, fault);
-    program.tell({ order: 'fault', fault: kind });
+  return async (fault, context) => {
+    const { program } = replicaOf(context, fault);
+    program.sendMessage({ order: 'fault', fault: kind });
     await sleep(fault.forMs);
-    program.tell({ order: 'fault', fault: 'well' });
+    program.sendMessage({ order: 'fault', fault: 'well' });
   };
 }
 
 const INJECTORS: Readonly<Record<FaultKind, Injector>> = {
-  burst: ({ forMs }, world) => {
-    world.burst(forMs);
+  burst: ({ forMs }, context) => {
+    context.burst(forMs);
     return sleep(forMs);
   },
-  'configuration-change': atOnce(world => {
-    world.changeConfiguration();
+  'configuration-change': immediate(context => {
+    context.changeConfiguration();
   }),
-  'configuration-storm': async (_, world) => {
+  'configuration-storm': async (_, context) => {
     for (let change = 0; change < STORM_CHANGES; change += 1) {
-      world.changeConfiguration();
+      context.changeConfiguration();
       await sleep(STORM_GAP_MS);
     }
   },
-  'crashing-request': ({ forMs }, world) => world.repeatCrashing(forMs),
-  'gateway-cut': async (fault, world) => {
-    const { storeLink, peerLink } = gatewayOf(world, fault);
+  'crashing-request': ({ forMs }, context) =>
+    context.sendCrashingRequests(forMs),
+  'gateway-cut': async (fault, context) => {
+    const { storeLink, peerLink } = gatewayOf(context, fault);
     const mode = cutMode(fault);
-    storeLink.set(mode);
-    peerLink.set(mode);
+    storeLink.setMode(mode);
+    peerLink.setMode(mode);
     await sleep(fault.forMs);
-    storeLink.set({ kind: 'well' });
-    peerLink.set({ kind: 'well' });
+    storeLink.setMode({ kind: 'well' });
+    peerLink.setMode({ kind: 'well' });
   },
-  'gateway-kill': (fault, world) =>
-    kill(gatewayOf(world, fault).program, RESTART_MS),
-  'gateway-pause': (fault, world) =>
-    pause(gatewayOf(world, fault).program, fault.forMs),
-  'gateway-reload': atOnce((world, fault) => {
-    const { touchSettings, program } = gatewayOf(world, fault);
-    touchSettings();
-    // The settings may change with a signal or without.
+  'gateway-kill': (fault, context) =>
+    kill(gatewayOf(context, fault).program, RESTART_DELAY_MS),
+  'gateway-pause': (fault, context) =>
+    pause(gatewayOf(context, fault).program, fault.forMs),
+  'gateway-reload': immediate((context, fault) => {
+    const { rewriteSettings, program } = gatewayOf(context, fault);
+    rewriteSettings();
+    // The gateway must notice a change of its settings with and without a signal.
     if (fault.strength < 0.5) {
       program.signal('SIGHUP');
     }
   }),
-  'gateway-rolling-stop': async (fault, world, onDone) => {
-    for (const { index } of world.fleet.gateways) {
-      // Each is a stop of its own, which must cut nobody.
+  'gateway-rolling-stop': async (fault, context, onStart) => {
+    for (const { index } of context.fleet.gateways) {
+      // Each stop is recorded separately, so that the invariant on graceful stops
+      // checks it.
       const stop: PlannedFault = {
         ...fault,
         kind: 'gateway-stop',
         target: index,
       };
-      await injectFault(stop, world, onDone);
+      await injectFault(stop, context, onStart);
       await sleep(ROLLING_GAP_MS);
     }
   },
-  'gateway-stop': (fault, world) => stopGateway(gatewayOf(world, fault), world),
+  'gateway-stop': (fault, context) =>
+    stopGateway(gatewayOf(context, fault), context),
   'gateways-kill-all': async ({ forMs }, { fleet }) => {
     await Promise.all(
       fleet.gateways.map(({ program }) => kill(program, forMs / 4)),
     );
   },
-  'key-added': atOnce(world => {
-    world.addKey();
+  'key-added': immediate(context => {
+    context.addKey();
   }),
   'peer-link-cut': onLink(peerLinkOf, cutMode),
   'peer-link-delay': onLink(peerLinkOf, delayMode),
-  'peer-link-silent': atOnce((world, fault) => {
-    peerLinkOf(world, fault).silenceAll();
+  'peer-link-silent': immediate((context, fault) => {
+    peerLinkOf(context, fault).silenceAll();
   }),
-  'replica-drain': async (fault, world) => {
-    const { program } = replicaOf(world, fault);
-    program.tell({
+  'replica-drain': async (fault, context) => {
+    const { program } = replicaOf(context, fault);
+    program.sendMessage({
       order: 'leave',
       announces: fault.strength < 0.6,
-      forMs: world.bounds.drainMs + LINGER_MS,
+      forMs: context.bounds.drainMs + LINGER_MS,
     });
-    await program.ended(2 * world.bounds.drainMs + fault.forMs);
+    await program.ended(2 * context.bounds.drainMs + fault.forMs);
     await restart(program);
   },
-  'replica-flap': async (fault, world) => {
-    const { program } = replicaOf(world, fault);
+  'replica-flap': async (fault, context) => {
+    const { program } = replicaOf(context, fault);
     for (let times = 0; times < 3; times += 1) {
       await program.kill();
       await restart(program);
@@ -230,60 +239,63 @@
   },
   'replica-garbles': replicaFault('garbles'),
   'replica-grey': replicaFault('grey'),
-  'replica-kill': (fault, world) =>
-    kill(replicaOf(world, fault).program, fault.forMs),
-  'replica-limit': async (fault, world) => {
-    const { program } = replicaOf(world, fault);
-    program.tell({ order: 'limit', perS: MAX_LIMIT_PER_S * fault.strength });
+  'replica-kill': (fault, context) =>
+    kill(replicaOf(context, fault).program, fault.forMs),
+  'replica-limit': async (fault, context) => {
+    const { program } = replicaOf(context, fault);
+    program.sendMessage({
+      order: 'limit',
+      perS: MAX_RATE_LIMIT_PER_S * fault.strength,
+    });
     await sleep(fault.forMs);
-    program.tell({ order: 'limit', perS: null });
+    program.sendMessage({ order: 'limit', perS: null });
   },
   'replica-link-delay': onLink(replicaLinkOf, delayMode),
-  'replica-link-reset': atOnce((world, fault) => {
-    replicaLinkOf(world, fault).resetAll();
+  'replica-link-reset': immediate((context, fault) => {
+    replicaLinkOf(context, fault).resetAll();
   }),
-  'replica-link-silent': atOnce((world, fault) => {
-    replicaLinkOf(world, fault).silenceAll();
+  'replica-link-silent': immediate((context, fault) => {
+    replicaLinkOf(context, fault).silenceAll();
   }),
   'replica-loses-answers': replicaFault('losesAnswers'),
-  'replica-pause': (fault, world) =>
-    pause(replicaOf(world, fault).program, fault.forMs),
+  'replica-pause': (fault, context) =>
+    pause(replicaOf(context, fault).program, fault.forMs),
   'replica-truncates': replicaFault('truncates'),
   'store-away': storeFault('away'),
-  'store-forgets': atOnce(({ fleet }) => {
+  'store-forgets': immediate(({ fleet }) => {
     fleet.store.forgetHistory();
   }),
   'store-link-cut': onLink(storeLinkOf, cutMode),
-  'store-link-reset': atOnce((world, fault) => {
-    storeLinkOf(world, fault).resetAll();
+  'store-link-reset': immediate((context, fault) => {
+    storeLinkOf(context, fault).resetAll();
   }),
-  'store-link-silent': atOnce((world, fault) => {
-    storeLinkOf(world, fault).silenceAll();
+  'store-link-silent': immediate((context, fault) => {
+    storeLinkOf(context, fault).silenceAll();
   }),
   'store-loses-replies': storeFault('losesReplies'),
   'store-slow': storeFault('slow'),
 };
 
 /**
- * Does one fault and undoes it.
+ * Injects one fault and undoes it.
  *
- * @param fault - what to do
- * @param world - to whom
- * @param onDone - gets the fault as done, at its start; its end is filled in later
+ * @param fault - fault to inject
+ * @param context - fleet and actions to inject it with
+ * @param onStart - called with the fault at its start; its `toMs` is set at its end
  */
 export async function injectFault(
   fault: PlannedFault,
-  world: FaultWorld,
-  onDone: DoneListener,
+  context: FaultContext,
+  onStart: FaultListener,
 ): Promise<void> {
-  const done: DoneFault = {
+  const injected: InjectedFault = {
     kind: fault.kind,
-    target: targetOf(fault, world.fleet),
+    target: targetOf(fault, context.fleet),
     fromMs: soakNow(),
     toMs: Infinity,
     planned: isPlanned(fault.kind),
   };
-  onDone(done);
-  await INJECTORS[fault.kind](fault, world, onDone);
-  done.toMs = soakNow();
+  onStart(injected);
+  await INJECTORS[fault.kind](fault, context, onStart);
+  injected.toMs = soakNow();
 }
--- a/packages/soak/src/faults/planFaults.ts
+++ b/packages/soak/src/faults/planFaults.ts
@@ -1,7 +1,7 @@
 import murmurhash from 'murmurhash';
 import { createRandom } from '@jujubecroft/types';
 
-/** What comes in many, and is over soon. */
+/** Faults that are short and may occur many times in a plan. */
 const SHORT_KINDS = [
   'burst',
   'configuration-change',
@@ -37,44 +37,45 @@
   'store-slow',
 ] as const;
 
-/** What lasts for longer, and is planned apart from all else. */
+/** Faults that last longer. They are drawn independently of the short ones. */
 const LONG_KINDS = ['crashing-request', 'replica-limit'] as const;
 
-/** Everything that a soak does to the programs. */
+/** All kinds of faults and planned operations. */
 export const FAULT_KINDS = [...SHORT_KINDS, ...LONG_KINDS] as const;
 
 export type FaultKind = (typeof FAULT_KINDS)[number];
 
-/** One fault of a plan. */
+/** A fault in a plan. */
 export interface PlannedFault {
   readonly kind: FaultKind;
-  /** Time from the start of the load. */
+  /** Start, relative to the start of the load. */
   readonly atMs: number;
+  /** Duration. */
   readonly forMs: number;
-  /** Drawn number that picks the target; taken modulo how many there are. */
+  /** Drawn number that selects the target, modulo the number of targets. */
   readonly target: number;
-  /** How strong, 0 to 1, where that has a meaning. */
+  /** Strength from 0 to 1, for kinds that have one. */
   readonly strength: number;
 }
 
-/** Everything is up and quiet this long before the first fault. */
-const QUIET_MS = 1500;
-/** Calm at the end, in which the system must repair itself. */
-export const CALM_MS = 9000;
-/** Mean time between faults; a few overlap at any moment. */
+/** Fault-free period before the first fault. */
+const WARM_UP_MS = 1500;
+/** Fault-free period at the end, in which the system must recover. */
+export const COOLDOWN_MS = 9000;
+/** Mean time between faults. It is short enough that some overlap. */
 const MEAN_GAP_MS = 900;
 const MIN_FAULT_MS = 200;
 const MAX_FAULT_MS = 4000;
-/** Chance that a fault comes again soon after, on the same target. */
-const AGAIN_CHANCE = 0.3;
-const MAX_AGAIN_GAP_MS = 1200;
-/** Kinds of one plan; few at a time make combinations deep rather than thin. */
-const KINDS_AT_ONCE = 7;
-/** Chance that a run has one of the longer faults. */
-const LONG_CHANCE = 0.4;
-/** Long enough for bounds that begin with the time to be in touch. */
-const LONG_MS = 9000;
-const TARGETS = 1000;
+/** Probability that a fault is repeated soon after on the same target. */
+const REPEAT_PROBABILITY = 0.3;
+const MAX_REPEAT_GAP_MS = 1200;
+/** Number of short kinds in a plan. With few kinds, the same combinations recur. */
+const KINDS_PER_PLAN = 7;
+/** Probability that a plan has a given long fault. */
+const LONG_FAULT_PROBABILITY = 0.4;
+/** Long enough for time bounds, which apply only after `SoakBounds.faultFreeMs`. */
+const LONG_FAULT_MS = 9000;
+const TARGET_RANGE = 1000;
 
 function pickKinds(
   random: () => number,
@@ -83,39 +84,39 @@
   return [...from]
     .map(kind => ({ kind, rank: random() }))
     .sort((a, b) => a.rank - b.rank)
-    .slice(0, KINDS_AT_ONCE)
+    .slice(0, KINDS_PER_PLAN)
     .map(({ kind }) => kind);
 }
 
-/** Draws the longer faults of one run. */
-function planLong(
+/** Draws the long faults of a plan. */
+function planLongFaults(
   seed: number,
-  lastMs: number,
+  lastEndMs: number,
   from: readonly FaultKind[],
 ): readonly PlannedFault[] {
-  // Numbers of their own, so that a seed's other faults stay what they were.
+  // A separate generator, so that the short faults of a seed do not depend on these.
   const random = createRandom(murmurhash.v3(`long ${seed}`));
-  const roomMs = lastMs - QUIET_MS - LONG_MS;
+  const availableMs = lastEndMs - WARM_UP_MS - LONG_FAULT_MS;
   return LONG_KINDS.flatMap(kind => {
-    const isDrawn = random() < LONG_CHANCE;
+    const isDrawn = random() < LONG_FAULT_PROBABILITY;
     const fault = {
       kind,
-      atMs: QUIET_MS + roomMs * random(),
-      forMs: LONG_MS,
-      target: Math.floor(random() * TARGETS),
+      atMs: WARM_UP_MS + availableMs * random(),
+      forMs: LONG_FAULT_MS,
+      target: Math.floor(random() * TARGET_RANGE),
       strength: random(),
     };
-    return isDrawn && roomMs > 0 && from.includes(kind) ? [fault] : [];
+    return isDrawn && availableMs > 0 && from.includes(kind) ? [fault] : [];
   });
 }
 
 /**
- * Draws the faults of one run.
+ * Draws the faults of one run from a seed.
  *
  * @param seed - equal seeds give equal plans
- * @param seconds - length of the load
+ * @param seconds - duration of the load in seconds
  * @param from - kinds to draw from
- * @returns faults in order of time; all are over before the calm at the end
+ * @returns faults by start time; all end before the fault-free period at the end
  */
 export function planFaults(
   seed: number,
@@ -127,29 +128,29 @@
     random,
     SHORT_KINDS.filter(kind => from.includes(kind)),
   );
-  const lastMs = seconds * 1000 - CALM_MS;
+  const lastEndMs = seconds * 1000 - COOLDOWN_MS;
   const faults: PlannedFault[] = [];
-  const add = (kind: FaultKind, atMs: number, target: number): void => {
+  const addFault = (kind: FaultKind, atMs: number, target: number): void => {
     const span = MAX_FAULT_MS - MIN_FAULT_MS;
     const forMs = MIN_FAULT_MS + span * random() * random();
     const strength = random();
-    if (atMs + forMs > lastMs) {
+    if (atMs + forMs > lastEndMs) {
       return;
     }
     faults.push({ kind, atMs, forMs, target, strength });
-    if (random() < AGAIN_CHANCE) {
-      add(kind, atMs + forMs + random() * MAX_AGAIN_GAP_MS, target);
+    if (random() < REPEAT_PROBABILITY) {
+      addFault(kind, atMs + forMs + random() * MAX_REPEAT_GAP_MS, target);
     }
   };
-  let atMs = QUIET_MS;
-  while (atMs < lastMs) {
+  let atMs = WARM_UP_MS;
+  while (atMs < lastEndMs) {
     const kind = kinds[Math.floor(random() * kinds.length)];
     if (kind) {
-      add(kind, atMs, Math.floor(random() * TARGETS));
+      addFault(kind, atMs, Math.floor(random() * TARGET_RANGE));
     }
     atMs += -Math.log(1 - random()) * MEAN_GAP_MS;
   }
-  return [...faults, ...planLong(seed, lastMs, from)].sort(
+  return [...faults, ...planLongFaults(seed, lastEndMs, from)].sort(
     (a, b) => a.atMs - b.atMs,
   );
 }
--- a/packages/soak/src/processes/SoakProcess.ts
+++ b/packages/soak/src/processes/SoakProcess.ts
@@ -4,25 +4,26 @@
 import { closeSync, openSync } from 'node:fs';
 import { ownCommand } from '@jujubecroft/stand-ins/util';
 
-/** How one program is started. */
-export interface ProgramStart {
+/** Command line and output of one start of a program. */
+export interface LaunchOptions {
+  /** Arguments after those that run this program itself. */
   readonly args: readonly string[];
-  /** File that takes the standard output of all its runs. */
+  /** File to which standard output and standard error are appended. */
   readonly outFile: string;
 }
 
-/** Every child that runs, so that none is left behind. */
-const RUNNING = new Set<ChildProcess>();
+/** All running child processes. */
+const RUNNING_CHILDREN = new Set<ChildProcess>();
 
 /**
- * Ends every child when this process ends, however it does.
+ * Kills all child processes when this process exits, including on SIGINT and SIGTERM.
  *
- * Guards against programs that run on, and keep their addresses, after a soak that
- * was interrupted or failed; they don't notice that their parent is gone.
+ * Otherwise the children of an interrupted or failed soak would keep running and
+ * hold their addresses, since they do not notice that their parent has exited.
  */
 export function endChildrenWithThis(): void {
   process.once('exit', () => {
-    RUNNING.forEach(child => child.kill('SIGKILL'));
+    RUNNING_CHILDREN.forEach(child => child.kill('SIGKILL'));
   });
   (['SIGINT', 'SIGTERM'] as const).forEach(signal => {
     process.once(signal, () => process.exit(1));
@@ -30,60 +31,60 @@
 }
 
 /**
- * One program of a soak, as a process that is stopped, paused, killed and started
- * again. It ends only processes that it started, by their ids.
+ * A program of a soak, run as a child process that can be signalled, paused, killed
+ * and restarted. It signals only processes that it has started itself.
  */
 export class SoakProcess {
   #child: ChildProcess | null = null;
   #incarnation = 0;
 
-  /** @param startOf - how a run of the program is started, by its number */
+  /** @param launchOptionsOf - returns the launch options of an incarnation */
   constructor(
-    private readonly startOf: (incarnation: number) => ProgramStart,
+    private readonly launchOptionsOf: (incarnation: number) => LaunchOptions,
   ) {}
 
-  /** Number of the present run, 1 for the first. */
+  /** Number of the current incarnation, from 1; 0 before the first start. */
   get incarnation(): number {
     return this.#incarnation;
   }
 
-  get isUp(): boolean {
+  get isRunning(): boolean {
     return this.#child !== null;
   }
 
-  /** Starts the program unless it runs. */
+  /** Starts the program unless it is running. */
   start(): void {
     if (this.#child) {
       return;
     }
     this.#incarnation += 1;
-    const { args, outFile } = this.startOf(this.#incarnation);
+    const { args, outFile } = this.launchOptionsOf(this.#incarnation);
     const out = openSync(outFile, 'a');
     const child = spawn(process.execPath, [...ownCommand(), ...args], {
       stdio: ['ignore', out, out, 'ipc'],
     });
     closeSync(out);
     this.#child = child;
-    RUNNING.add(child);
+    RUNNING_CHILDREN.add(child);
     child.once('exit', () => {
-      RUNNING.delete(child);
+      RUNNING_CHILDREN.delete(child);
       this.#child = null;
     });
   }
 
-  /** Sends a signal to the present run, if there is one. */
+  /** Sends a signal to the process if it is running. */
   signal(name: 'SIGHUP' | 'SIGTERM'): void {
     this.#child?.kill(name);
   }
 
-  /** Tells the program something, where it listens. */
-  tell(message: object): void {
+  /** Sends a message to the process if its IPC channel is open. */
+  sendMessage(message: object): void {
     if (this.#child?.connected === true) {
       this.#child.send(message);
     }
   }
 
-  /** Suspends the process until it is resumed. */
+  /** Suspends the process until {@link SoakProcess.resume} is called. */
   pause(): void {
     this.#child?.kill('SIGSTOP');
   }
@@ -92,21 +93,21 @@
     this.#child?.kill('SIGCONT');
   }
 
-  /** Ends the process at once and waits until it is gone. */
+  /** Kills the process and waits for its exit. */
   async kill(): Promise<void> {
     this.#child?.kill('SIGKILL');
-    await this.#gone();
+    await this.#waitForExit();
   }
 
-  /** Waits until the process has ended by itself, or kills it when the time is up. */
+  /** Waits for the process to exit, and kills it after the given time. */
   async ended(withinMs: number): Promise<void> {
     const child = this.#child;
     const timer = setTimeout(() => child?.kill('SIGKILL'), withinMs);
-    await this.#gone();
+    await this.#waitForExit();
     clearTimeout(timer);
   }
 
-  async #gone(): Promise<void> {
+  async #waitForExit(): Promise<void> {
     if (this.#child) {
       await once(this.#child, 'exit');
     }
--- a/packages/soak/src/processes/runSoakReplica.ts
+++ b/packages/soak/src/processes/runSoakReplica.ts
@@ -10,35 +10,38 @@
   ReplicaFault,
   SoakReplicaDialect,
   SoakReplicaPlace,
-  SoakRequestHead,
+  SoakRequestMetadata,
 } from '../SoakEnvironment.js';
 import { soakNow } from '../soakNow.js';
 import { workOf } from '../workOf.js';
 
-/** Told to a replica process by the soak. */
-export type ReplicaOrder =
+/** Message from the soak to a replica process, sent over the IPC channel. */
+export type ReplicaControlMessage =
   | {
       readonly order: 'leave';
+      /** Whether to mark the entry as leaving; otherwise the entry is removed. */
       readonly announces: boolean;
+      /** Time for which the replica keeps serving after the store has acknowledged. */
       readonly forMs: number;
     }
   | { readonly order: 'fault'; readonly fault: ReplicaFault }
   | { readonly order: 'limit'; readonly perS: number | null };
 
-const SLOTS = 12;
-/** Requests that may wait for a slot; more are turned away. */
-const QUEUE = 24;
+/** Maximum number of requests that are executed at once. */
+const MAX_RUNNING = 12;
+/** Maximum number of requests that wait for a slot; more are refused. */
+const MAX_QUEUED = 24;
 const HEARTBEAT_MS = 400;
-/** Share of the requests that a bad fault concerns. */
-const BAD_SHARE = 0.5;
-const OK = 200;
-const MISDIRECTED = 421;
-const FAILED = 500;
-const FULL = 503;
+/** Share of the requests that a fault affects. */
+const FAULTY_SHARE = 0.5;
+const HTTP_OK = 200;
+const HTTP_MISDIRECTED_REQUEST = 421;
+const HTTP_INTERNAL_SERVER_ERROR = 500;
+const HTTP_SERVICE_UNAVAILABLE = 503;
 
-/** A backend server that writes down what reaches it, for checks afterwards. */
+/** A backend server that records the requests that reach it, for later checks. */
 class SoakReplica {
-  readonly #notes: number;
+  readonly #notesFd: number;
   readonly #random: () => number;
   readonly #queue: (() => void)[] = [];
   #fault: ReplicaFault = 'well';
@@ -51,31 +54,31 @@
     private readonly place: SoakReplicaPlace,
     private readonly dialect: SoakReplicaDialect,
   ) {
-    // Written through at once, so that a kill loses nothing.
-    this.#notes = openSync(place.notesFile, 'a');
+    // Notes are written synchronously, so that none is lost when the process is killed.
+    this.#notesFd = openSync(place.notesFile, 'a');
     this.#random = createRandom(place.seed);
   }
 
   start(): void {
     const server = createServer((req, res) => {
-      this.#take(req, res).catch((err: unknown) => {
+      this.#handleRequest(req, res).catch((err: unknown) => {
         process.stderr.write(`${String(err)}\n`);
         res.destroy();
       });
     });
     server.listen(this.place.port, this.place.host);
     setInterval(() => {
-      this.#beat();
+      this.#sendHeartbeat();
     }, HEARTBEAT_MS);
-    this.#beat();
-    process.on('message', (message: ReplicaOrder) => {
-      this.#obey(message);
+    this.#sendHeartbeat();
+    process.on('message', (message: ReplicaControlMessage) => {
+      this.#handleMessage(message);
     });
     // A replica must not outlive the soak that started it.
     process.on('disconnect', () => process.exit(0));
   }
 
-  #obey(order: ReplicaOrder): void {
+  #handleMessage(order: ReplicaControlMessage): void {
     if (order.order === 'fault') {
       this.#fault = order.fault;
       return;
@@ -84,7 +87,7 @@
       const { perS } = order;
       this.#limitPerS = perS;
       const { replica } = this.place;
-      this.#note({ type: 'limit', replica, atMs: soakNow(), perS });
+      this.#writeNote({ type: 'limit', replica, atMs: soakNow(), perS });
       return;
     }
     this.#leaving = true;
@@ -97,14 +100,15 @@
           setTimeout(() => process.exit(0), order.forMs);
         })
         .catch(() => {
-          // The store is away; a replica leaves only once it has told.
+          // The store is unavailable. The replica leaves only once the store has
+          // acknowledged.
           setTimeout(announce, HEARTBEAT_MS);
         });
     };
     announce();
   }
 
-  #beat(): void {
+  #sendHeartbeat(): void {
     if (this.#leaving) {
       return;
     }
@@ -116,22 +120,26 @@
       });
   }
 
-  #note(note: ReplicaNote): void {
-    writeSync(this.#notes, `${JSON.stringify(note)}\n`);
+  #writeNote(note: ReplicaNote): void {
+    writeSync(this.#notesFd, `${JSON.stringify(note)}\n`);
   }
 
-  async #take(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  async #handleRequest(
+    req: IncomingMessage,
+    res: ServerResponse,
+  ): Promise<void> {
     const head = this.dialect.readHead(req.headers);
     const body = await readText(req);
     const { replica, service } = this.place;
-    const misdirected = head.expected !== null && head.expected !== replica;
-    const full = this.#running >= SLOTS && this.#queue.length >= QUEUE;
-    const ran = head.id !== null && !misdirected && !full;
+    const isMisdirected = head.expected !== null && head.expected !== replica;
+    const isFull =
+      this.#running >= MAX_RUNNING && this.#queue.length >= MAX_QUEUED;
+    const ran = head.id !== null && !isMisdirected && !isFull;
     const atMs = soakNow();
     const work = workOf(body);
     const events = Math.max(0, work.events - head.after);
-    const lastsMs = work.workMs + events * work.gapMs;
-    this.#note({
+    const durationMs = work.workMs + events * work.gapMs;
+    this.#writeNote({
       type: 'got',
       id: head.id ?? '',
       replica,
@@ -143,18 +151,18 @@
       organisation: head.organisation,
       timeLeftMs: head.timeLeftMs,
       after: head.after,
-      endsMs: atMs + lastsMs,
+      endsMs: atMs + durationMs,
     });
     if (!ran) {
       res.writeHead(
-        misdirected ? MISDIRECTED : FULL,
+        isMisdirected ? HTTP_MISDIRECTED_REQUEST : HTTP_SERVICE_UNAVAILABLE,
         this.dialect.notRunHeaders(head),
       );
       res.end();
       return;
     }
     res.once('close', () => {
-      this.#note({
+      this.#writeNote({
         type: 'closed',
         id: head.id ?? '',
         replica,
@@ -162,79 +170,86 @@
         whole: res.writableFinished,
       });
     });
-    await this.#slot();
+    await this.#acquireSlot();
     try {
-      await this.#answer(head, body, res);
+      await this.#respond(head, body, res);
     } finally {
       this.#running -= 1;
       this.#queue.shift()?.();
     }
   }
 
-  async #slot(): Promise<void> {
-    if (this.#running >= SLOTS) {
+  async #acquireSlot(): Promise<void> {
+    if (this.#running >= MAX_RUNNING) {
       await new Promise<void>(resolve => this.#queue.push(resolve));
     }
     this.#running += 1;
   }
 
-  async #answer(
-    head: SoakRequestHead,
+  async #respond(
+    head: SoakRequestMetadata,
     body: string,
     res: ServerResponse,
   ): Promise<void> {
     const work = workOf(body);
     const id = head.id ?? '';
-    const mark = `${this.place.replica}/${id}`;
-    const isBad = this.#fault !== 'well' && this.#random() < BAD_SHARE;
-    await this.#pause(work.workMs, res);
+    const stamp = `${this.place.replica}/${id}`;
+    const isFaulty = this.#fault !== 'well' && this.#random() < FAULTY_SHARE;
+    await this.#delay(work.workMs, res);
     if (work.crashes === true) {
       process.exit(1);
     }
     const load = {
       running: this.#running,
       waiting: this.#queue.length,
-      slots: SLOTS,
+      slots: MAX_RUNNING,
       limitPerS: this.#limitPerS,
     };
-    const headers = this.dialect.answerHeaders(head, mark, load);
-    if (isBad && this.#misbehave(headers, res)) {
+    const headers = this.dialect.answerHeaders(head, stamp, load);
+    if (isFaulty && this.#writeFaultyResponse(headers, res)) {
       return;
     }
     if (work.events === 0) {
-      const text = plainBody(id, mark);
-      if (isBad) {
-        // Announces more than it sends.
-        res.writeHead(OK, { ...headers, 'content-length': text.length });
+      const text = plainBody(id, stamp);
+      if (isFaulty) {
+        // Sends less than the content length announces.
+        res.writeHead(HTTP_OK, { ...headers, 'content-length': text.length });
         res.write(text.slice(0, text.length / 2), () => res.destroy());
         return;
       }
-      res.writeHead(OK, headers);
+      res.writeHead(HTTP_OK, headers);
       res.end(text);
       return;
     }
-    res.writeHead(OK, { ...headers, 'content-type': 'text/event-stream' });
-    const cutAt = isBad ? Math.ceil(work.events / 2) : Infinity;
+    res.writeHead(HTTP_OK, { ...headers, 'content-type': 'text/event-stream' });
+    const truncateAt = isFaulty ? Math.ceil(work.events / 2) : Infinity;
     for (let number = head.after + 1; number <= work.events; number += 1) {
       if (res.destroyed) {
         return;
       }
       const text = eventText(id, number, work.events);
-      if (number >= cutAt) {
+      if (number >= truncateAt) {
         res.write(text.slice(0, text.length / 2), () => res.destroy());
         return;
       }
       res.write(text);
-      await this.#pause(work.gapMs, res);
+      await this.#delay(work.gapMs, res);
     }
     res.end();
   }
 
-  /** Answers wrongly; returns whether it did. */
-  #misbehave(headers: Record<string, string>, res: ServerResponse): boolean {
+  /**
+   * Responds as the current fault requires.
+   *
+   * @returns false if the fault truncates the regular response instead
+   */
+  #writeFaultyResponse(
+    headers: Record<string, string>,
+    res: ServerResponse,
+  ): boolean {
     switch (this.#fault) {
       case 'grey':
-        res.writeHead(FAILED, headers);
+        res.writeHead(HTTP_INTERNAL_SERVER_ERROR, headers);
         res.end('failed');
         return true;
       case 'losesAnswers':
@@ -250,8 +265,8 @@
     }
   }
 
-  /** Waits, but not for a connection that is gone. */
-  async #pause(ms: number, res: ServerResponse): Promise<void> {
+  /** Waits for the given time, or until the connection closes. */
+  async #delay(ms: number, res: ServerResponse): Promise<void> {
     if (ms <= 0 || res.destroyed) {
       return;
     }
@@ -268,10 +283,10 @@
 }
 
 /**
- * Runs one replica until its process ends.
+ * Starts one replica, which runs until its process exits.
  *
- * @param place - who it is and where
- * @param dialect - how replicas speak in this environment
+ * @param place - configuration of the replica
+ * @param dialect - formats of headers and store entries
  */
 export function runSoakReplica(
   place: SoakReplicaPlace,
--- a/packages/soak/src/promises/EvidenceIndex.ts
+++ b/packages/soak/src/promises/EvidenceIndex.ts
@@ -2,74 +2,75 @@
 
 import type {
   ClosedNote,
-  DoneFault,
+  InjectedFault,
   Evidence,
   FaultTarget,
-  GotNote,
+  ReceivedNote,
   SentRequest,
 } from '../evidence.js';
 
-/** Evidence by request, and questions about times without faults. */
+/** Index of the evidence by request, with queries on faults in a span of time. */
 export class EvidenceIndex {
-  readonly #runs: ReadonlyMap<string, readonly GotNote[]>;
-  readonly #closes: ReadonlyMap<string, readonly ClosedNote[]>;
+  readonly #executions: ReadonlyMap<string, readonly ReceivedNote[]>;
+  readonly #closedNotes: ReadonlyMap<string, readonly ClosedNote[]>;
   readonly #sent: ReadonlyMap<string, SentRequest>;
 
   constructor(private readonly evidence: Evidence) {
-    const got = evidence.notes.filter(note => note.type === 'got');
+    const received = evidence.notes.filter(note => note.type === 'got');
     const closed = evidence.notes.filter(note => note.type === 'closed');
-    this.#runs = groupBy(
-      got.filter(({ ran }) => ran),
+    this.#executions = groupBy(
+      received.filter(({ ran }) => ran),
       ({ id }) => id,
     );
-    this.#closes = groupBy(closed, ({ id }) => id);
+    this.#closedNotes = groupBy(closed, ({ id }) => id);
     this.#sent = new Map(evidence.sent.map(request => [request.id, request]));
   }
 
-  /** Runs of a request at replicas, in the order of their notes. */
-  runsOf(id: string): readonly GotNote[] {
-    return this.#runs.get(id) ?? [];
+  /** Returns the executions of a request at replicas, in the order of the notes. */
+  executionsOf(id: string): readonly ReceivedNote[] {
+    return this.#executions.get(id) ?? [];
   }
 
-  /** Ends of its connections at replicas. */
-  closesOf(id: string): readonly ClosedNote[] {
-    return this.#closes.get(id) ?? [];
+  /** Returns when the connections of a request at replicas closed. */
+  closedNotesOf(id: string): readonly ClosedNote[] {
+    return this.#closedNotes.get(id) ?? [];
   }
 
+  /** Returns a request as the caller sent it. */
   sent(id: string): SentRequest | undefined {
     return this.#sent.get(id);
   }
 
   /**
-   * Faults that touched something in a span of time.
+   * Returns the faults in a span of time whose target satisfies a predicate.
    *
-   * @param touches - which targets count
+   * @param selects - predicate on the target and the fault
    * @param fromMs - start of the span
-   * @param toMs - its end
+   * @param toMs - end of the span
    */
   faultsIn(
-    touches: (target: FaultTarget, fault: DoneFault) => boolean,
+    selects: (target: FaultTarget, fault: InjectedFault) => boolean,
     fromMs: number,
     toMs: number,
-  ): readonly DoneFault[] {
+  ): readonly InjectedFault[] {
     return this.evidence.faults.filter(
       fault =>
         fault.fromMs <= toMs &&
         fault.toMs >= fromMs &&
-        touches(fault.target, fault),
+        selects(fault.target, fault),
     );
   }
 
   /**
-   * Whether a gateway and the store had no faults for long enough that bounds in
-   * time hold for the gateway.
+   * Whether time bounds apply to a gateway in a span of time: neither the gateway nor
+   * the store had a fault in the span or in the `faultFreeMs` before it.
    */
-  isInTouch(gateway: number, fromMs: number, toMs: number): boolean {
-    const sinceMs = fromMs - this.evidence.bounds.contactMs;
+  isGatewayFaultFree(gateway: number, fromMs: number, toMs: number): boolean {
+    const sinceMs = fromMs - this.evidence.bounds.faultFreeMs;
     const faults = this.faultsIn(
-      ({ what, index }) =>
-        what === 'store' ||
-        (what === 'gateway' && (index === null || index === gateway)),
+      ({ component, index }) =>
+        component === 'store' ||
+        (component === 'gateway' && (index === null || index === gateway)),
       sinceMs,
       toMs,
     );
--- a/packages/soak/src/promises/allPromises.ts
+++ b/packages/soak/src/promises/allPromises.ts
@@ -9,13 +9,13 @@
 import { leavingReplicas } from './leaving-replicas.js';
 import { replicaLimits } from './replica-limits.js';
 import { servesAgain } from './serves-again.js';
-import type { SoakPromise } from './SoakPromise.js';
+import type { SoakInvariant } from './SoakInvariant.js';
 import { trueRefusals } from './true-refusals.js';
 import { unchangedRequests } from './unchanged-requests.js';
 import { wholeOwnAnswers } from './whole-own-answers.js';
 
-/** Every promise that the soak checks. */
-export const ALL_PROMISES: readonly SoakPromise[] = [
+/** All invariants that the soak checks. */
+export const ALL_INVARIANTS: readonly SoakInvariant[] = [
   atMostOnce,
   boundedAttempts,
   boundedRetries,
--- a/packages/soak/src/promises/at-most-once.ts
+++ b/packages/soak/src/promises/at-most-once.ts
@@ -1,19 +1,19 @@
-import type { SoakPromise } from './SoakPromise.js';
+import type { SoakInvariant } from './SoakInvariant.js';
 
-/** What may not be repeated runs once at most. */
-export const atMostOnce: SoakPromise = {
+/** A request that must not be repeated is executed at most once. */
+export const atMostOnce: SoakInvariant = {
   name: 'at-most-once',
   description:
-    'An unsafe request, or a stream that cannot be resumed, runs at most once.',
+    'An unsafe request, or a stream that cannot be resumed, is executed at most once.',
   timed: false,
   check: ({ sent }, index) =>
     sent
       .filter(({ kind }) => kind === 'unsafe' || kind === 'stream')
-      .filter(({ id }) => index.runsOf(id).length > 1)
+      .filter(({ id }) => index.executionsOf(id).length > 1)
       .map(({ id }) => ({
         request: id,
-        what: `ran at ${index
-          .runsOf(id)
+        what: `executed at ${index
+          .executionsOf(id)
           .map(({ replica }) => replica)
           .join(', ')}`,
       })),
--- a/packages/soak/src/promises/bounded-attempts.ts
+++ b/packages/soak/src/promises/bounded-attempts.ts
@@ -1,15 +1,16 @@
-import type { SoakPromise } from './SoakPromise.js';
+import type { SoakInvariant } from './SoakInvariant.js';
 
-/** A request does not run at more replicas than its route allows. */
-export const boundedAttempts: SoakPromise = {
+/** A request is executed at no more replicas than its route allows. */
+export const boundedAttempts: SoakInvariant = {
   name: 'bounded-attempts',
-  description: 'A request runs at no more replicas than its route allows.',
+  description:
+    'A request is executed at no more replicas than its route allows.',
   timed: false,
   check: ({ sent, bounds }, index) =>
     sent
-      .filter(({ id }) => index.runsOf(id).length > bounds.attempts)
+      .filter(({ id }) => index.executionsOf(id).length > bounds.attempts)
       .map(({ id }) => ({
         request: id,
-        what: `ran ${index.runsOf(id).length} times`,
+        what: `executed ${index.executionsOf(id).length} times`,
       })),
 };
--- a/packages/soak/src/promises/bounded-retries.ts
+++ b/packages/soak/src/promises/bounded-retries.ts
@@ -1,24 +1,25 @@
-import type { Evidence, GotNote } from '../evidence.js';
+import type { Evidence, ReceivedNote } from '../evidence.js';
 import type { EvidenceIndex } from './EvidenceIndex.js';
-import type { Breach, SoakPromise } from './SoakPromise.js';
+import type { Violation, SoakInvariant } from './SoakInvariant.js';
 
 interface Arrival {
   readonly atMs: number;
-  readonly isRepeat: boolean;
+  readonly isRetry: boolean;
 }
 
-/** Arrivals of one service in order, with those beyond the first of a request marked. */
-function arrivalsOf(notes: readonly GotNote[]): readonly Arrival[] {
+/** Returns the arrivals at one service by time, marking all but the first of a request. */
+function arrivalsOf(notes: readonly ReceivedNote[]): readonly Arrival[] {
   const seen = new Set<string>();
   return [...notes]
     .sort((a, b) => a.atMs - b.atMs)
     .map(({ id, atMs }) => {
-      const isRepeat = seen.has(id);
+      const isRetry = seen.has(id);
       seen.add(id);
-      return { atMs, isRepeat };
+      return { atMs, isRetry };
     });
 }
 
+/** Counts the times after `fromMs` and up to `toMs`. */
 function countIn(
   times: readonly number[],
   fromMs: number,
@@ -27,56 +28,56 @@
   return times.filter(time => time > fromMs && time <= toMs).length;
 }
 
-function breachesOf(
+function violationsOf(
   service: string,
-  notes: readonly GotNote[],
+  notes: readonly ReceivedNote[],
   { bounds }: Evidence,
   index: EvidenceIndex,
-): readonly Breach[] {
-  const repeats = arrivalsOf(notes).filter(({ isRepeat }) => isRepeat);
-  const times = repeats.map(({ atMs }) => atMs);
-  const asked = [...new Set(notes.map(({ id }) => id))].flatMap(
+): readonly Violation[] {
+  const retries = arrivalsOf(notes).filter(({ isRetry }) => isRetry);
+  const retryTimes = retries.map(({ atMs }) => atMs);
+  const sentTimes = [...new Set(notes.map(({ id }) => id))].flatMap(
     id => index.sent(id)?.sentMs ?? [],
   );
-  const worst = times
+  const exceeded = retryTimes
     .map(toMs => {
       const fromMs = toMs - bounds.retryWindowMs;
       const requests = Math.max(
-        ...[0, 0.5, 1].map(part =>
+        ...[0, 0.5, 1].map(shift =>
           countIn(
-            asked,
-            fromMs - part * bounds.retryWindowMs,
-            toMs - part * bounds.retryWindowMs,
+            sentTimes,
+            fromMs - shift * bounds.retryWindowMs,
+            toMs - shift * bounds.retryWindowMs,
           ),
         ),
       );
       const allowed = bounds.retryRatio * requests + bounds.retryExtra;
-      return { repeats: countIn(times, fromMs, toMs), allowed };
+      return { retries: countIn(retryTimes, fromMs, toMs), allowed };
     })
-    .find(window => window.repeats > window.allowed);
-  return worst
+    .find(window => window.retries > window.allowed);
+  return exceeded
     ? [
         {
           request: null,
-          what: `${service}: ${worst.repeats} repeats in a window that allows ${worst.allowed.toFixed(1)}`,
+          what: `${service}: ${exceeded.retries} retries in a window that allows ${exceeded.allowed.toFixed(1)}`,
         },
       ]
     : [];
 }
 
-/** Repeats over all gateways stay within the shared budget. */
-export const boundedRetries: SoakPromise = {
+/** Retries over all gateways stay within the shared retry budget. */
+export const boundedRetries: SoakInvariant = {
   name: 'bounded-retries',
   description:
-    'In any window a service gets no more repeats than its share of requests and the extra allow.',
+    'In any window, the retries to a service do not exceed the retry ratio of its requests plus the extra retries.',
   timed: true,
   check: (evidence, index) => {
-    const got = evidence.notes.filter(note => note.type === 'got');
-    const services = [...new Set(got.map(({ service }) => service))];
+    const received = evidence.notes.filter(note => note.type === 'got');
+    const services = [...new Set(received.map(({ service }) => service))];
     return services.flatMap(service =>
-      breachesOf(
+      violationsOf(
         service,
-        got.filter(note => note.service === service),
+        received.filter(note => note.service === service),
         evidence,
         index,
       ),
--- a/packages/soak/src/promises/cancelled-work.ts
+++ b/packages/soak/src/promises/cancelled-work.ts
@@ -1,49 +1,49 @@
-import type { SoakPromise } from './SoakPromise.js';
+import type { SoakInvariant } from './SoakInvariant.js';
 
-/** Time in which a replica learns that its caller left. */
-const CANCEL_MS = 500;
-/** Share of the abandoned requests that may go on; closes cross answers. */
+/** Time within which a replica must be told that the caller has aborted. */
+const CANCELLATION_MS = 500;
+/** Share of aborted requests that may continue, since a close may cross a response. */
 const ALLOWED_SHARE = 0.25;
-const MIN_COUNTED = 8;
+const MIN_ABANDONED = 8;
 
-/** Replicas stop working for callers that left. */
-export const cancelledWork: SoakPromise = {
+/** Replicas stop working on requests that the caller has aborted. */
+export const cancelledWork: SoakInvariant = {
   name: 'cancelled-work',
   description:
-    'Most replicas stop within half a second when the caller of a repeatable request leaves.',
+    'In most cases a replica stops within half a second after the caller aborts a repeatable request.',
   timed: true,
   check: ({ sent, answers, bounds }, index) => {
-    const boundMs = CANCEL_MS + bounds.slackMs;
-    const counted = sent
+    const boundMs = CANCELLATION_MS + bounds.slackMs;
+    const abandoned = sent
       .filter(({ kind }) => kind !== 'unsafe' && kind !== 'stream')
       .flatMap(({ id, gateway }) => {
         const leftMs = answers.get(id)?.leftMs ?? null;
-        const run = index.runsOf(id).at(-1);
-        const counts =
+        const run = index.executionsOf(id).at(-1);
+        const isCounted =
           leftMs !== null &&
           run !== undefined &&
           run.endsMs > leftMs + 2 * boundMs &&
-          index.isInTouch(gateway, leftMs, leftMs + boundMs) &&
+          index.isGatewayFaultFree(gateway, leftMs, leftMs + boundMs) &&
           index.faultsIn(
-            ({ what }) => what === 'replica',
-            leftMs - bounds.contactMs,
+            ({ component }) => component === 'replica',
+            leftMs - bounds.faultFreeMs,
             leftMs + boundMs,
           ).length === 0;
-        return counts ? [{ id, leftMs, run }] : [];
+        return isCounted ? [{ id, leftMs, run }] : [];
       });
-    const goingOn = counted.filter(({ id, leftMs, run }) => {
+    const uncancelled = abandoned.filter(({ id, leftMs, run }) => {
       const closed = index
-        .closesOf(id)
+        .closedNotesOf(id)
         .find(({ replica }) => replica === run.replica);
       return closed === undefined || closed.atMs > leftMs + boundMs;
     });
     const tooMany =
-      counted.length >= MIN_COUNTED &&
-      goingOn.length > ALLOWED_SHARE * counted.length;
+      abandoned.length >= MIN_ABANDONED &&
+      uncancelled.length > ALLOWED_SHARE * abandoned.length;
     return tooMany
-      ? goingOn.map(({ id }) => ({
+      ? uncancelled.map(({ id }) => ({
           request: id,
-          what: `worked on for a caller that left; ${goingOn.length} of ${counted.length}`,
+          what: `execution continued after the caller aborted; ${uncancelled.length} of ${abandoned.length}`,
         }))
       : [];
   },
--- a/packages/soak/src/promises/configuration-in-force.ts
+++ b/packages/soak/src/promises/configuration-in-force.ts
@@ -1,38 +1,42 @@
 import type { Evidence, SentRequest } from '../evidence.js';
 import type { EvidenceIndex } from './EvidenceIndex.js';
-import type { Breach, SoakPromise } from './SoakPromise.js';
+import type { Violation, SoakInvariant } from './SoakInvariant.js';
 
-const UNKNOWN_ROUTE = 404;
+const HTTP_NOT_FOUND = 404;
 
-/** Probes that met a gateway which did not know their route though it stood. */
+/** Returns the probes answered with 404 although their route had not been removed. */
 function unknownProbes({
   sent,
   answers,
-  configured,
+  configurationWrites,
 }: Evidence): readonly SentRequest[] {
-  const byVersion = new Map(configured.map(each => [each.version, each]));
+  const byVersion = new Map(
+    configurationWrites.map(write => [write.version, write]),
+  );
   return sent.filter(({ id, version, sentMs, timeLimitMs }) => {
-    const stands = byVersion.get(version ?? -1);
+    const configuration = byVersion.get(version ?? -1);
     return (
-      stands !== undefined &&
-      answers.get(id)?.status === UNKNOWN_ROUTE &&
-      sentMs + timeLimitMs < stands.droppedMs
+      configuration !== undefined &&
+      answers.get(id)?.status === HTTP_NOT_FOUND &&
+      sentMs + timeLimitMs < configuration.routeRemovedMs
     );
   });
 }
 
+/** Finds probes refused after the configuration should have been in force. */
 function lateProbes(
   evidence: Evidence,
   index: EvidenceIndex,
-): readonly Breach[] {
-  const { configured, bounds } = evidence;
+): readonly Violation[] {
+  const { configurationWrites, bounds } = evidence;
   return unknownProbes(evidence).flatMap(({ id, version, sentMs, gateway }) => {
     const ackedMs =
-      configured.find(each => each.version === version)?.ackedMs ?? Infinity;
+      configurationWrites.find(write => write.version === version)?.ackedMs ??
+      Infinity;
     const lateMs = sentMs - ackedMs;
     const isLate =
-      lateMs > bounds.configurationMs + bounds.slackMs &&
-      index.isInTouch(gateway, ackedMs, sentMs);
+      lateMs > bounds.configurationPropagationMs + bounds.slackMs &&
+      index.isGatewayFaultFree(gateway, ackedMs, sentMs);
     return isLate
       ? [
           {
@@ -44,35 +48,35 @@
   });
 }
 
-/** Probes that a gateway did not know after the same process had known them. */
-function revertedProbes(evidence: Evidence): readonly Breach[] {
+/** Finds probes refused by a process that had already served the same or a later version. */
+function revertedProbes(evidence: Evidence): readonly Violation[] {
   const { sent, answers } = evidence;
-  return unknownProbes(evidence).flatMap(late => {
-    const known = sent.find(
-      probe =>
-        probe.version !== null &&
-        probe.version >= (late.version ?? Infinity) &&
-        probe.gateway === late.gateway &&
-        probe.incarnation === late.incarnation &&
-        answers.get(probe.id)?.status === 200 &&
-        (answers.get(probe.id)?.endedMs ?? Infinity) < late.sentMs,
+  return unknownProbes(evidence).flatMap(probe => {
+    const earlier = sent.find(
+      other =>
+        other.version !== null &&
+        other.version >= (probe.version ?? Infinity) &&
+        other.gateway === probe.gateway &&
+        other.incarnation === probe.incarnation &&
+        answers.get(other.id)?.status === 200 &&
+        (answers.get(other.id)?.endedMs ?? Infinity) < probe.sentMs,
     );
-    return known
+    return earlier
       ? [
           {
-            request: late.id,
-            what: `configuration ${late.version ?? ''} is forgotten after ${known.id} saw it`,
+            request: probe.id,
+            what: `configuration ${probe.version ?? ''} no longer in force after ${earlier.id} was served`,
           },
         ]
       : [];
   });
 }
 
-/** Configurations take effect in time and stay in force. */
-export const configurationInForce: SoakPromise = {
+/** A configuration takes effect within a bounded time and stays in force. */
+export const configurationInForce: SoakInvariant = {
   name: 'configuration-in-force',
   description:
-    'An acknowledged configuration is in force at every gateway in touch in time, and no process goes back.',
+    'An acknowledged configuration is in force in time at every gateway without faults, and no process reverts to an earlier one.',
   timed: true,
   check: (evidence, index) => [
     ...lateProbes(evidence, index),
--- a/packages/soak/src/promises/crashing-requests.ts
+++ b/packages/soak/src/promises/crashing-requests.ts
@@ -1,42 +1,42 @@
 import { workOf } from '../workOf.js';
-import type { SoakPromise } from './SoakPromise.js';
+import type { SoakInvariant } from './SoakInvariant.js';
 
 const MAX_CRASHES = 3;
-/** Repeats that may reach a replica later than that. */
-const MAX_LATE = 3;
+/** Maximum number of executions once the gateways should know of the crashes. */
+const MAX_LATE_EXECUTIONS = 3;
 
-/** A request that crashed three replicas is not sent on. */
-export const crashingRequests: SoakPromise = {
+/** A request that has crashed three replicas is no longer forwarded. */
+export const crashingRequests: SoakInvariant = {
   name: 'crashing-requests',
   description:
-    'A request that crashed three replicas reaches no more than three others later.',
+    'A request that has crashed three replicas is executed at most three more times once the gateways have had time to learn of it.',
   timed: true,
   check: ({ notes, bounds }, index) => {
-    const runs = notes
+    const executions = notes
       .filter(note => note.type === 'got')
       .filter(({ ran, body }) => ran && workOf(body).crashes === true)
       .sort((a, b) => a.atMs - b.atMs);
-    const firsts = runs.filter(
-      ({ replica }, place) =>
-        runs.findIndex(other => other.replica === replica) === place,
+    const firsts = executions.filter(
+      ({ replica }, position) =>
+        executions.findIndex(other => other.replica === replica) === position,
     );
     const third = firsts[MAX_CRASHES - 1];
     if (!third) {
       return [];
     }
-    const fromMs = third.endsMs + bounds.contactMs + bounds.slackMs;
-    const late = runs.filter(({ id, atMs }) => {
+    const fromMs = third.endsMs + bounds.faultFreeMs + bounds.slackMs;
+    const late = executions.filter(({ id, atMs }) => {
       const gateway = index.sent(id)?.gateway;
       return (
         atMs > fromMs &&
         gateway !== undefined &&
-        index.isInTouch(gateway, atMs, atMs)
+        index.isGatewayFaultFree(gateway, atMs, atMs)
       );
     });
-    return late.length > MAX_LATE
+    return late.length > MAX_LATE_EXECUTIONS
       ? late.map(({ id, replica }) => ({
           request: id,
-          what: `reached ${replica} after three crashes`,
+          what: `executed at ${replica} after three crashes`,
         }))
       : [];
   },
--- a/packages/soak/src/promises/duties-of-one.ts
+++ b/packages/soak/src/promises/duties-of-one.ts
@@ -1,31 +1,35 @@
-import type { DutyNote, Evidence } from '../evidence.js';
-import type { Breach, SoakPromise } from './SoakPromise.js';
+import type { DutyCall, Evidence } from '../evidence.js';
+import type { Violation, SoakInvariant } from './SoakInvariant.js';
 
-function breachOf(
-  { holder, token, window, counts }: DutyNote,
-  before: readonly DutyNote[],
+function violationOf(
+  { holder, token, window, counts }: DutyCall,
+  earlierCalls: readonly DutyCall[],
 ): string | null {
-  if (before.some(other => other.token === token && other.holder !== holder)) {
-    return `two gateways called with token ${token}`;
+  if (
+    earlierCalls.some(other => other.token === token && other.holder !== holder)
+  ) {
+    return `two gateways used fencing token ${token}`;
   }
-  const isRecount = before.some(
+  const hasOtherCounts = earlierCalls.some(
     other => other.window === window && other.counts !== counts,
   );
-  return isRecount ? `window ${window} was reported with two counts` : null;
+  return hasOtherCounts
+    ? `window ${window} was reported with different counts`
+    : null;
 }
 
-function check({ dutyCalls }: Evidence): readonly Breach[] {
-  return dutyCalls.flatMap((call, place) => {
-    const what = breachOf(call, dutyCalls.slice(0, place));
+function check({ dutyCalls }: Evidence): readonly Violation[] {
+  return dutyCalls.flatMap((call, position) => {
+    const what = violationOf(call, dutyCalls.slice(0, position));
     return what === null ? [] : [{ request: null, what }];
   });
 }
 
-/** What one gateway does for all is done in one name and said once. */
-export const dutiesOfOne: SoakPromise = {
+/** Usage reports of all gateways are made by one holder per token, without conflicts. */
+export const dutiesOfOne: SoakInvariant = {
   name: 'duties-of-one',
   description:
-    'Calls that one gateway makes for all bear a token of its own, and say the same of a window each time.',
+    'Each fencing token of usage reports belongs to one gateway, and all reports of a window have the same counts.',
   timed: false,
   check,
 };
--- a/packages/soak/src/promises/graceful-stops.ts
+++ b/packages/soak/src/promises/graceful-stops.ts
@@ -1,13 +1,13 @@
-import type { DoneFault, Evidence, SentRequest } from '../evidence.js';
+import type { InjectedFault, Evidence, SentRequest } from '../evidence.js';
 import type { EvidenceIndex } from './EvidenceIndex.js';
-import type { SoakPromise } from './SoakPromise.js';
+import type { SoakInvariant } from './SoakInvariant.js';
 
-/** Requests that come later may meet a gateway that is about to end. */
-const TAKEN_AFTER_STOP_MS = 3000;
-/** Share of the grace period by which the replica must have ended. */
-const WORK_SHARE = 5 / 6;
+/** Requests sent later than this after the stop may reach a gateway about to exit. */
+const ACCEPTED_AFTER_STOP_MS = 3000;
+/** Share of the grace period within which the execution must have ended to count. */
+const EXECUTION_SHARE = 5 / 6;
 
-/** Whether nothing but planned changes touched the way of a request. */
+/** Whether no fault other than planned operations affected the path of a request. */
 function isUndisturbed(
   request: SentRequest,
   endedMs: number,
@@ -15,38 +15,39 @@
   index: EvidenceIndex,
 ): boolean {
   const faults = index.faultsIn(
-    ({ what, index: touched }, { planned }) =>
+    ({ component, index: targetIndex }, { planned }) =>
       !planned &&
-      (what === 'replica' ||
-        what === 'store' ||
-        touched === null ||
-        touched === request.gateway),
-    request.sentMs - bounds.contactMs,
+      (component === 'replica' ||
+        component === 'store' ||
+        targetIndex === null ||
+        targetIndex === request.gateway),
+    request.sentMs - bounds.faultFreeMs,
     endedMs,
   );
   return faults.length === 0;
 }
 
-function cutsOf(
-  stop: DoneFault,
+/** Returns the ids of requests that a stop cut although they could have finished. */
+function cutRequestsOf(
+  stop: InjectedFault,
   evidence: Evidence,
   index: EvidenceIndex,
 ): readonly string[] {
   const { sent, answers, bounds } = evidence;
-  const lastMs = stop.fromMs + WORK_SHARE * bounds.graceMs;
+  const lastEndMs = stop.fromMs + EXECUTION_SHARE * bounds.graceMs;
   return sent
     .filter(({ gateway }) => gateway === stop.target.index)
-    .filter(({ sentMs }) => sentMs <= stop.fromMs + TAKEN_AFTER_STOP_MS)
+    .filter(({ sentMs }) => sentMs <= stop.fromMs + ACCEPTED_AFTER_STOP_MS)
     .filter(request => {
       const answer = answers.get(request.id);
-      const runs = index.runsOf(request.id);
+      const executions = index.executionsOf(request.id);
       return (
         answer !== undefined &&
         answer.endedMs >= stop.fromMs &&
         answer.leftMs === null &&
         !answer.whole &&
-        runs.length > 0 &&
-        runs.every(({ endsMs }) => endsMs <= lastMs) &&
+        executions.length > 0 &&
+        executions.every(({ endsMs }) => endsMs <= lastEndMs) &&
         answer.endedMs < request.sentMs + request.timeLimitMs &&
         isUndisturbed(request, answer.endedMs, evidence, index)
       );
@@ -54,17 +55,17 @@
     .map(({ id }) => id);
 }
 
-/** A planned stop cuts off nothing that can end in time. */
-export const gracefulStops: SoakPromise = {
+/** A planned stop cuts no request that can finish within the grace period. */
+export const gracefulStops: SoakInvariant = {
   name: 'graceful-stops',
   description:
-    'A gateway that is asked to stop finishes every request that a replica works on.',
+    'A gateway that is asked to stop finishes every request that a replica is executing.',
   timed: true,
   check: (evidence, index) =>
     evidence.faults
       .filter(({ kind }) => kind === 'gateway-stop')
       .flatMap(stop =>
-        cutsOf(stop, evidence, index).map(request => ({
+        cutRequestsOf(stop, evidence, index).map(request => ({
           request,
           what: `cut by the stop of gateway ${stop.target.index ?? ''}`,
         })),
--- a/packages/soak/src/promises/leaving-replicas.ts
+++ b/packages/soak/src/promises/leaving-replicas.ts
@@ -1,22 +1,23 @@
-import type { SoakPromise } from './SoakPromise.js';
+import type { SoakInvariant } from './SoakInvariant.js';
 
-/** Leaving replicas get no new requests after a bounded time. */
-export const leavingReplicas: SoakPromise = {
+/** A leaving replica gets no new requests after a bounded time. */
+export const leavingReplicas: SoakInvariant = {
   name: 'leaving-replicas',
   description:
-    'Once the store has acknowledged that a replica leaves, gateways in touch send it nothing after the drain time.',
+    'Gateways without faults send nothing to a leaving replica once the drain time has passed since the store acknowledged that it leaves.',
   timed: true,
   check: ({ leaving, notes, bounds }, index) => {
-    const got = notes.filter(note => note.type === 'got');
-    return leaving.flatMap(({ replica, ackedMs, backMs }) => {
-      const boundMs = ackedMs + bounds.drainMs + bounds.slackMs;
-      return got
+    const received = notes.filter(note => note.type === 'got');
+    return leaving.flatMap(({ replica, ackedMs, returnedMs }) => {
+      const deadlineMs = ackedMs + bounds.drainMs + bounds.slackMs;
+      return received
         .filter(note => note.replica === replica)
-        .filter(({ atMs }) => atMs > boundMs && atMs <= backMs)
+        .filter(({ atMs }) => atMs > deadlineMs && atMs <= returnedMs)
         .filter(({ id, atMs }) => {
           const gateway = index.sent(id)?.gateway;
           return (
-            gateway !== undefined && index.isInTouch(gateway, ackedMs, atMs)
+            gateway !== undefined &&
+            index.isGatewayFaultFree(gateway, ackedMs, atMs)
           );
         })
         .map(({ id, atMs }) => ({
--- a/packages/soak/src/promises/replica-limits.ts
+++ b/packages/soak/src/promises/replica-limits.ts
@@ -1,75 +1,84 @@
-import type { Evidence, GotNote, LimitNote } from '../evidence.js';
+import type { Evidence, ReceivedNote, LimitNote } from '../evidence.js';
 import type { EvidenceIndex } from './EvidenceIndex.js';
-import type { Breach, SoakPromise } from './SoakPromise.js';
+import type { Violation, SoakInvariant } from './SoakInvariant.js';
 
 const WINDOW_MS = 4000;
 const MS_PER_SECOND = 1000;
-const TOLERANCE = 1.5;
-const EXTRA = 5;
-/** A gateway is bound so long after it has passed on an answer that names the limit. */
-const TOLD_MS = 500;
+const ALLOWED_FACTOR = 1.5;
+const ALLOWED_EXTRA = 5;
+/**
+ * Time after which a limit applies to a gateway, from when it first passed on a
+ * response of the limited replica.
+ */
+const LIMIT_KNOWN_MS = 500;
 
-/** When each gateway first passed on an answer of a limited replica. */
-function toldAtMs(
-  got: readonly GotNote[],
+/** Returns when each gateway first passed on a response of a limited replica. */
+function limitSeenTimes(
+  received: readonly ReceivedNote[],
   { answers }: Evidence,
   index: EvidenceIndex,
 ): ReadonlyMap<number, number> {
-  return got.reduce((told, { id }) => {
+  return received.reduce((seenMs, { id }) => {
     const [gateway, answer] = [index.sent(id)?.gateway, answers.get(id)];
     if (gateway !== undefined && answer?.whole === true) {
-      const known = told.get(gateway) ?? Infinity;
-      told.set(gateway, Math.min(known, answer.endedMs));
+      const previousMs = seenMs.get(gateway) ?? Infinity;
+      seenMs.set(gateway, Math.min(previousMs, answer.endedMs));
     }
-    return told;
+    return seenMs;
   }, new Map<number, number>());
 }
 
-function breachesOf(
+function violationsOf(
   { replica, atMs, perS }: LimitNote,
   evidence: Evidence,
   index: EvidenceIndex,
-): readonly Breach[] {
+): readonly Violation[] {
   const { notes, bounds } = evidence;
-  const end = notes.find(
+  const next = notes.find(
     note =>
       note.type === 'limit' && note.replica === replica && note.atMs > atMs,
   );
-  const got = notes
+  const received = notes
     .filter(note => note.type === 'got')
     .filter(note => note.replica === replica)
-    .filter(note => note.atMs >= atMs && note.atMs < (end?.atMs ?? Infinity))
+    .filter(note => note.atMs >= atMs && note.atMs < (next?.atMs ?? Infinity))
     .sort((a, b) => a.atMs - b.atMs);
-  const told = toldAtMs(got, evidence, index);
-  const bound = got.filter(note => {
+  const seenMs = limitSeenTimes(received, evidence, index);
+  const counted = received.filter(note => {
     const gateway = index.sent(note.id)?.gateway ?? -1;
     return (
-      note.atMs >= atMs + bounds.contactMs + bounds.slackMs &&
-      note.atMs > (told.get(gateway) ?? Infinity) + TOLD_MS &&
-      index.isInTouch(gateway, note.atMs, note.atMs)
+      note.atMs >= atMs + bounds.faultFreeMs + bounds.slackMs &&
+      note.atMs > (seenMs.get(gateway) ?? Infinity) + LIMIT_KNOWN_MS &&
+      index.isGatewayFaultFree(gateway, note.atMs, note.atMs)
     );
   });
   const allowed =
-    (TOLERANCE * (perS ?? Infinity) * WINDOW_MS) / MS_PER_SECOND + EXTRA;
-  return bound.flatMap(({ id, atMs: fromMs }) => {
-    const count = bound.filter(
+    (ALLOWED_FACTOR * (perS ?? Infinity) * WINDOW_MS) / MS_PER_SECOND +
+    ALLOWED_EXTRA;
+  return counted.flatMap(({ id, atMs: fromMs }) => {
+    const count = counted.filter(
       other => other.atMs >= fromMs && other.atMs < fromMs + WINDOW_MS,
     ).length;
     return count > allowed
-      ? [{ request: id, what: `${count} at ${replica} in four seconds` }]
+      ? [
+          {
+            request: id,
+            what: `${count} requests at ${replica} in four seconds`,
+          },
+        ]
       : [];
   });
 }
 
-/** A replica gets no more than the limit that it names for all gateways. */
-export const replicaLimits: SoakPromise = {
+/** A replica gets no more requests than its rate limit over all gateways allows. */
+export const replicaLimits: SoakInvariant = {
   name: 'replica-limits',
   description:
-    'A replica that names a limit gets half as much again and five at most, in any four seconds.',
+    'In any four seconds, a replica with a rate limit gets at most 1.5 times its limit plus five requests.',
   timed: true,
   check: (evidence, index) =>
     evidence.notes
       .filter(note => note.type === 'limit')
       .filter(({ perS }) => perS !== null)
-      .flatMap(note => breachesOf(note, evidence, index)),
+      .flatMap(note => violationsOf(note, evidence, index)),
 };
--- a/packages/soak/src/promises/serves-again.ts
+++ b/packages/soak/src/promises/serves-again.ts
@@ -1,20 +1,21 @@
-import type { SoakPromise } from './SoakPromise.js';
+import type { SoakInvariant } from './SoakInvariant.js';
 
-/** Time after the last fault until the system must serve as before. */
+/** Time after the last fault within which the system must have recovered. */
 const RECOVERY_MS = 5000;
-const SERVED_SHARE = 0.9;
-const MIN_COUNTED = 20;
-const OK = 200;
+const MIN_SERVED_SHARE = 0.9;
+const MIN_REQUESTS = 20;
+const HTTP_OK = 200;
 
-/** The system repairs itself once faults are over. */
-export const servesAgain: SoakPromise = {
+/** The system recovers once there are no more faults. */
+export const servesAgain: SoakInvariant = {
   name: 'serves-again',
   description:
-    'Some seconds after the last fault nine in ten requests are served whole.',
+    'From five seconds after the last fault, at least 90 % of requests get a complete response.',
   timed: true,
-  check: ({ sent, answers, calmFromMs, endMs }) => {
-    const fromMs = calmFromMs + RECOVERY_MS;
-    // Callers finish what they have asked for when the run ends.
+  check: ({ sent, answers, cooldownFromMs, endMs }) => {
+    const fromMs = cooldownFromMs + RECOVERY_MS;
+    // Callers wait for their last response at the end of the run, so requests sent
+    // shortly before the end count too.
     const counted = sent.filter(({ id, kind, sentMs }) => {
       const answer = answers.get(id);
       return (
@@ -24,18 +25,18 @@
         answer?.leftMs === null
       );
     });
-    const missed = counted.filter(({ id }) => {
+    const unserved = counted.filter(({ id }) => {
       const answer = answers.get(id);
-      return answer?.status !== OK || !answer.whole;
+      return answer?.status !== HTTP_OK || !answer.whole;
     });
     const tooMany =
-      counted.length < MIN_COUNTED ||
-      missed.length > (1 - SERVED_SHARE) * counted.length;
+      counted.length < MIN_REQUESTS ||
+      unserved.length > (1 - MIN_SERVED_SHARE) * counted.length;
     return tooMany
       ? [
           {
-            request: missed[0]?.id ?? null,
-            what: `${missed.length} of ${counted.length} requests not served after the last fault`,
+            request: unserved[0]?.id ?? null,
+            what: `${unserved.length} of ${counted.length} requests not served after the last fault`,
           },
         ]
       : [];
--- a/packages/soak/src/promises/true-refusals.ts
+++ b/packages/soak/src/promises/true-refusals.ts
@@ -1,21 +1,23 @@
-import type { SoakPromise } from './SoakPromise.js';
+import type { SoakInvariant } from './SoakInvariant.js';
 
-/** Statuses that promise that a request has not run and never will. */
-const NOT_RUN: readonly (number | null)[] = [408, 421, 429, 503];
+/** Statuses which state that a request was not and will not be executed. */
+const NOT_EXECUTED_STATUSES: readonly (number | null)[] = [408, 421, 429, 503];
 
-/** A refusal is only given to what did not run. */
-export const trueRefusals: SoakPromise = {
+/** A request that was refused was not executed. */
+export const trueRefusals: SoakInvariant = {
   name: 'true-refusals',
   description:
-    'A request that may not be repeated and was refused as not run did not run.',
+    'A request that must not be repeated was not executed if it was refused.',
   timed: false,
   check: ({ sent, answers }, index) =>
     sent
       .filter(({ kind }) => kind === 'unsafe' || kind === 'stream')
-      .filter(({ id }) => NOT_RUN.includes(answers.get(id)?.status ?? null))
-      .filter(({ id }) => index.runsOf(id).length > 0)
+      .filter(({ id }) =>
+        NOT_EXECUTED_STATUSES.includes(answers.get(id)?.status ?? null),
+      )
+      .filter(({ id }) => index.executionsOf(id).length > 0)
       .map(({ id }) => ({
         request: id,
-        what: `refused with ${answers.get(id)?.status ?? 0} though it ran`,
+        what: `refused with ${answers.get(id)?.status ?? 0} although it was executed`,
       })),
 };
--- a/packages/soak/src/promises/unchanged-requests.ts
+++ b/packages/soak/src/promises/unchanged-requests.ts
@@ -1,11 +1,12 @@
-import type { Evidence, GotNote } from '../evidence.js';
+import type { Evidence, ReceivedNote } from '../evidence.js';
 import type { EvidenceIndex } from './EvidenceIndex.js';
-import type { SoakPromise } from './SoakPromise.js';
+import type { SoakInvariant } from './SoakInvariant.js';
 
-/** Time by which the handed on time may exceed the caller's, for rounding. */
-const ROUNDING_MS = 1;
+/** Tolerance for rounding when comparing the forwarded time limit to the caller's. */
+const ROUNDING_TOLERANCE_MS = 1;
 
-function faultOf(note: GotNote, index: EvidenceIndex): string | null {
+/** Describes how a received request differs from the one sent; null if it does not. */
+function violationOf(note: ReceivedNote, index: EvidenceIndex): string | null {
   const sent = index.sent(note.id);
   if (!sent) {
     return 'no caller sent it';
@@ -14,25 +15,25 @@
     return 'path, query or body changed';
   }
   if (note.organisation !== sent.organisation) {
-    return `ran for ${note.organisation ?? 'nobody'}, not ${sent.organisation}`;
+    return `received for organisation ${note.organisation ?? 'none'}, not ${sent.organisation}`;
   }
   const timeLeftMs = note.timeLeftMs ?? Infinity;
-  return timeLeftMs > sent.timeLimitMs + ROUNDING_MS
-    ? `was handed ${timeLeftMs} ms of the caller's ${sent.timeLimitMs}`
+  return timeLeftMs > sent.timeLimitMs + ROUNDING_TOLERANCE_MS
+    ? `received with ${timeLeftMs} ms left of the caller's ${sent.timeLimitMs}`
     : null;
 }
 
-/** Requests reach replicas as their callers sent them. */
-export const unchangedRequests: SoakPromise = {
+/** Requests reach replicas unchanged. */
+export const unchangedRequests: SoakInvariant = {
   name: 'unchanged-requests',
   description:
-    'What a replica runs was sent by a caller and reaches it unchanged, for its own organisation and with no more time than is left.',
+    'Every request that reaches a replica was sent by a caller, and arrives unchanged, for the same organisation and with no more than the time left.',
   timed: false,
   check: ({ notes }: Evidence, index) =>
     notes
       .filter(note => note.type === 'got')
       .flatMap(note => {
-        const what = faultOf(note, index);
+        const what = violationOf(note, index);
         return what === null ? [] : [{ request: note.id, what }];
       }),
 };
--- a/packages/soak/src/promises/whole-own-answers.ts
+++ b/packages/soak/src/promises/whole-own-answers.ts
@@ -1,49 +1,56 @@
 import { plainBody, streamBody } from '../answers.js';
-import type { SeenAnswer, SentRequest } from '../evidence.js';
+import type { ObservedResponse, SentRequest } from '../evidence.js';
 import { workOf } from '../workOf.js';
-import type { SoakPromise } from './SoakPromise.js';
+import type { SoakInvariant } from './SoakInvariant.js';
 
-const OK = 200;
+const HTTP_OK = 200;
 
-/** What a whole answer to a request must be. */
-function expectedBody(sent: SentRequest, { mark }: SeenAnswer): string {
+/** Returns the body of a complete response to a request. */
+function expectedBody(sent: SentRequest, { stamp }: ObservedResponse): string {
   const work = workOf(sent.body);
   return work.events > 0
     ? streamBody(sent.id, 1, work.events)
-    : plainBody(sent.id, mark ?? '');
+    : plainBody(sent.id, stamp ?? '');
 }
 
-/** Why a success can't be an answer to its request; null where it is one. */
-function faultOf(sent: SentRequest, answer: SeenAnswer): string | null {
-  if (answer.mark === null) {
-    return 'success without the mark of a run';
+/** Describes why a success cannot be the response to its request; null if it can. */
+function violationOf(
+  sent: SentRequest,
+  answer: ObservedResponse,
+): string | null {
+  if (answer.stamp === null) {
+    return 'success without a response stamp';
   }
   const expected = expectedBody(sent, answer);
   if (answer.whole && answer.body !== expected) {
-    return `whole answer of ${answer.body.length} characters, not the replica's ${expected.length}`;
+    return `complete response of ${answer.body.length} characters, not the expected ${expected.length}`;
   }
   return expected.startsWith(answer.body)
     ? null
-    : 'part of an answer that is not this request’s';
+    : 'partial response that does not belong to this request';
 }
 
-/** A success is the replica's whole answer to this very request, or visibly broken. */
-export const wholeOwnAnswers: SoakPromise = {
+/** A success is the replica's complete response to the request, or visibly truncated. */
+export const wholeOwnAnswers: SoakInvariant = {
   name: 'whole-own-answers',
   description:
-    'A success is the replica’s own answer to the request; one that ends early does not look whole.',
+    'A successful response is the one that a replica produced for the request, and looks incomplete if it was truncated.',
   timed: false,
   check: ({ sent, answers }, index) =>
     sent.flatMap(request => {
       const answer = answers.get(request.id);
-      if (answer?.status !== OK) {
+      if (answer?.status !== HTTP_OK) {
         return [];
       }
-      const fault = faultOf(request, answer);
-      const made = index
-        .runsOf(request.id)
-        .some(({ id, replica }) => `${replica}/${id}` === answer.mark);
-      const what = fault ?? (made ? null : `no run bears ${answer.mark ?? ''}`);
+      const violation = violationOf(request, answer);
+      const hasExecution = index
+        .executionsOf(request.id)
+        .some(({ id, replica }) => `${replica}/${id}` === answer.stamp);
+      const what =
+        violation ??
+        (hasExecution
+          ? null
+          : `no execution with the stamp ${answer.stamp ?? ''}`);
       return what === null ? [] : [{ request: request.id, what }];
     }),
 };
--- a/packages/soak/src/runSoak.ts
+++ b/packages/soak/src/runSoak.ts
@@ -1,73 +1,78 @@
-import type { DoneFault, Evidence } from './evidence.js';
+import type { InjectedFault, Evidence } from './evidence.js';
 import { planFaults } from './faults/planFaults.js';
-import { ALL_PROMISES } from './promises/allPromises.js';
+import { ALL_INVARIANTS } from './promises/allPromises.js';
 import { EvidenceIndex } from './promises/EvidenceIndex.js';
-import type { Breach } from './promises/SoakPromise.js';
+import type { Violation } from './promises/SoakInvariant.js';
 import { SOAK_BOUNDS } from './soakBounds.js';
 import type { SoakEnvironment } from './SoakEnvironment.js';
 import { SoakFleet } from './SoakFleet.js';
 import type { SoakOptions } from './SoakOptions.js';
 import { SoakRun } from './SoakRun.js';
 
-/** What became of one promise. */
-export interface PromiseVerdict {
+/** Result of checking one invariant. */
+export interface InvariantVerdict {
+  /** Name of the invariant. */
   readonly promise: string;
-  readonly breaches: readonly Breach[];
+  readonly breaches: readonly Violation[];
 }
 
 /** Result of one soak. */
 export interface SoakResult {
   readonly seed: number;
-  readonly faults: readonly DoneFault[];
+  readonly faults: readonly InjectedFault[];
+  /** Requests that callers sent. */
   readonly sent: number;
+  /** Requests that got a complete response with status 200. */
   readonly served: number;
+  /** Requests that were refused with status 429 or 503. */
   readonly refused: number;
-  /** Calls of the store, heartbeats of replicas too. */
+  /** Calls to the store, including heartbeats of replicas. */
   readonly storeCalls: number;
-  readonly verdicts: readonly PromiseVerdict[];
+  readonly verdicts: readonly InvariantVerdict[];
+  /** Whether every checked invariant held. */
   readonly kept: boolean;
 }
 
-const OK = 200;
-const REFUSED: readonly number[] = [429, 503];
+const HTTP_OK = 200;
+const REFUSED_STATUSES: readonly number[] = [429, 503];
 
 function verdictsOf(
   evidence: Evidence,
   untimed: boolean,
-): readonly PromiseVerdict[] {
+): readonly InvariantVerdict[] {
   const index = new EvidenceIndex(evidence);
-  return ALL_PROMISES.filter(({ timed }) => !(timed && untimed)).map(
+  return ALL_INVARIANTS.filter(({ timed }) => !(timed && untimed)).map(
     ({ name, check }) => ({ promise: name, breaches: check(evidence, index) }),
   );
 }
 
-/** Second byte of the loopback addresses; two soaks at once should differ. */
-function networkOf(): number {
+/** Returns the second octet of the loopback addresses, derived from the process id. */
+function networkOctetOf(): number {
   return 100 + (process.pid % 100);
 }
 
 /**
- * Runs the programs as processes, injects the faults of a seed and checks what
- * callers and replicas saw.
+ * Runs the programs as processes, injects the faults drawn from a seed, and checks
+ * the invariants against what callers and replicas observed.
  *
- * @param environment - the surroundings
- * @param options - of this run
- * @returns the verdicts of all promises
- * @throws Error when the programs do not come up
+ * @param environment - adapter for the environment of the programs
+ * @param options - options of this run
+ * @returns the verdict on each invariant, and counts of the run
+ * @throws Error if a gateway does not become ready in time
  */
 export async function runSoak(
   environment: SoakEnvironment,
   options: SoakOptions,
 ): Promise<SoakResult> {
   const gateways = Math.max(2, Math.floor(options.processes / 2));
-  const size = {
+  const fleetOptions = {
     gateways,
     replicas: Math.max(4, options.processes - gateways),
     folder: options.folder,
-    network: networkOf(),
+    networkOctet: networkOctetOf(),
     seed: options.seed,
   };
-  const fleet = await SoakFleet.start(environment, size, SOAK_BOUNDS);
+  const fleet = await SoakFleet.start(environment, fleetOptions, SOAK_BOUNDS);
   try {
     const soak = new SoakRun(fleet, environment, options);
     const plan = planFaults(options.seed, options.seconds, options.kinds);
@@ -78,10 +83,11 @@
       seed: options.seed,
       faults: evidence.faults,
       sent: evidence.sent.length,
-      served: answers.filter(({ status, whole }) => status === OK && whole)
-        .length,
-      refused: answers.filter(({ status }) => REFUSED.includes(status ?? 0))
+      served: answers.filter(({ status, whole }) => status === HTTP_OK && whole)
         .length,
+      refused: answers.filter(({ status }) =>
+        REFUSED_STATUSES.includes(status ?? 0),
+      ).length,
       storeCalls: fleet.store.calls(),
       verdicts,
       kept: verdicts.every(({ breaches }) => breaches.length === 0),
--- a/packages/soak/src/workOf.ts
+++ b/packages/soak/src/workOf.ts
@@ -9,10 +9,14 @@
   crashes: z.boolean().optional(),
 });
 
-/** A probe without a body asks for an answer at once. */
+/** Work of a request without a body, such as a probe: an immediate response. */
 const NO_WORK: WorkOrder = { workMs: 0, events: 0, gapMs: 0 };
 
-/** Reads what a request's body asks a replica to do. */
+/**
+ * Parses the work that a request's body asks for.
+ *
+ * @throws ZodError or SyntaxError if a non-empty body is malformed
+ */
 export function workOf(body: string): WorkOrder {
   return body === '' ? NO_WORK : workSchema.parse(JSON.parse(body));
 }
--- a/packages/soak/tests/SoakFleet.test.ts
+++ b/packages/soak/tests/SoakFleet.test.ts
@@ -3,9 +3,10 @@
 import { serviceOf, SERVICES } from '../src/SoakFleet.js';
 
 describe('SoakFleet', ({ it }) => {
-  // Two replicas are replaced and come back for the other service. Their own has
-  // none left then, and refusing its requests is no fault of any gateway.
-  it('leaves each service a replica however often they are replaced', t => {
+  // A restarted replica changes to the other service. If all replicas of a service
+  // changed, the gateways would rightly refuse its requests, and the soak would
+  // report that as a violation.
+  it('keeps a replica for each service after any number of replica restarts', t => {
     [1, 2, 3].forEach(incarnation => {
       const services = [0, 1, 2, 3].map(index => serviceOf(index, incarnation));
       t.deepEqual([...new Set(services)].sort(), [...SERVICES].sort());
--- a/packages/soak/tests/faults/FaultLink.test.ts
+++ b/packages/soak/tests/faults/FaultLink.test.ts
@@ -6,19 +6,19 @@
 import { FaultLink } from '../../src/faults/FaultLink.js';
 
 const HOST = '127.0.0.1';
-const MOMENT_MS = 120;
+const SETTLE_MS = 120;
 
-const moment = (): Promise<void> =>
-  new Promise(resolve => setTimeout(resolve, MOMENT_MS));
+const settle = (): Promise<void> =>
+  new Promise(resolve => setTimeout(resolve, SETTLE_MS));
 
-/** An echo behind a link, and a caller's end of a connection to it. */
-async function withEcho(
-  body: (link: FaultLink, open: () => Promise<Caller>) => Promise<void>,
+/** Runs a test with an echo server behind a link, and a function that connects to it. */
+async function withEchoServer(
+  run: (link: FaultLink, open: () => Promise<Caller>) => Promise<void>,
 ): Promise<void> {
-  const echoed: Socket[] = [];
+  const serverSockets: Socket[] = [];
   const server = createServer(socket => {
-    echoed.push(socket);
-    // A reset is what some tests bring about.
+    serverSockets.push(socket);
+    // Some tests reset connections.
     socket.on('error', () => undefined);
     socket.pipe(socket);
   });
@@ -26,7 +26,7 @@
   const port = await link.listen(HOST);
   const callers: Caller[] = [];
   try {
-    await body(link, async () => {
+    await run(link, async () => {
       const caller = new Caller(port);
       callers.push(caller);
       await caller.connected;
@@ -35,11 +35,12 @@
   } finally {
     callers.forEach(({ socket }) => socket.destroy());
     link.close();
-    echoed.forEach(socket => socket.destroy());
+    serverSockets.forEach(socket => socket.destroy());
     server.close();
   }
 }
 
+/** Client that collects the text it receives. */
 class Caller {
   readonly socket: Socket;
   readonly connected: Promise<void>;
@@ -58,14 +59,14 @@
         resolve();
       });
     });
-    // A reset is what some tests bring about.
+    // Some tests reset connections.
     this.socket.on('error', () => undefined);
     this.socket.on('data', chunk => {
       this.text += String(chunk);
     });
   }
 
-  async until(text: string): Promise<void> {
+  async waitFor(text: string): Promise<void> {
     while (this.text !== text) {
       await new Promise(resolve => setTimeout(resolve, 5));
     }
@@ -73,62 +74,62 @@
 }
 
 describe('FaultLink', ({ it }) => {
-  it('carries bytes both ways', async t => {
-    await withEcho(async (_, open) => {
+  it('forwards bytes in both directions', async t => {
+    await withEchoServer(async (_, open) => {
       const caller = await open();
       caller.socket.write('hello');
-      await caller.until('hello');
+      await caller.waitFor('hello');
       t.is(caller.text, 'hello');
     });
   });
 
-  it('holds bytes up while it is cut and delivers them afterwards', async t => {
-    await withEcho(async (link, open) => {
+  it('holds bytes back while the link is cut and delivers them afterwards', async t => {
+    await withEchoServer(async (link, open) => {
       const caller = await open();
-      link.set({ kind: 'cutBack' });
+      link.setMode({ kind: 'cutBack' });
       caller.socket.write('late');
-      await moment();
+      await settle();
       t.is(caller.text, '');
-      link.set({ kind: 'well' });
-      await caller.until('late');
+      link.setMode({ kind: 'well' });
+      await caller.waitFor('late');
       t.is(caller.text, 'late');
     });
   });
 
-  it('keeps bytes in order when a delay ends', async t => {
-    await withEcho(async (link, open) => {
+  it('keeps the order of bytes when a delay ends', async t => {
+    await withEchoServer(async (link, open) => {
       const caller = await open();
-      link.set({ kind: 'delay', ms: MOMENT_MS });
+      link.setMode({ kind: 'delay', ms: SETTLE_MS });
       caller.socket.write('first ');
-      await new Promise(resolve => setTimeout(resolve, MOMENT_MS / 2));
-      link.set({ kind: 'well' });
+      await new Promise(resolve => setTimeout(resolve, SETTLE_MS / 2));
+      link.setMode({ kind: 'well' });
       caller.socket.write('second');
-      await caller.until('first second');
+      await caller.waitFor('first second');
       t.is(caller.text, 'first second');
     });
   });
 
-  it('silences open connections for good while new ones work', async t => {
-    await withEcho(async (link, open) => {
-      const old = await open();
-      old.socket.write('a');
-      await old.until('a');
+  it('silences open connections permanently while new connections work', async t => {
+    await withEchoServer(async (link, open) => {
+      const existing = await open();
+      existing.socket.write('a');
+      await existing.waitFor('a');
       link.silenceAll();
-      old.socket.write('b');
+      existing.socket.write('b');
       const fresh = await open();
       fresh.socket.write('c');
-      await fresh.until('c');
-      await moment();
-      t.is(old.text, 'a');
-      t.false(old.socket.destroyed);
+      await fresh.waitFor('c');
+      await settle();
+      t.is(existing.text, 'a');
+      t.false(existing.socket.destroyed);
     });
   });
 
   it('resets open connections', async t => {
-    await withEcho(async (link, open) => {
+    await withEchoServer(async (link, open) => {
       const caller = await open();
       caller.socket.write('a');
-      await caller.until('a');
+      await caller.waitFor('a');
       link.resetAll();
       await caller.closed;
       t.true(caller.socket.destroyed);
--- a/packages/soak/tests/faults/injectFault.test.ts
+++ b/packages/soak/tests/faults/injectFault.test.ts
@@ -1,12 +1,12 @@
 import { describe } from '@jujubecroft/testing';
 
-import type { DoneFault } from '../../src/evidence.js';
-import type { FaultWorld } from '../../src/faults/injectFault.js';
+import type { InjectedFault } from '../../src/evidence.js';
+import type { FaultContext } from '../../src/faults/injectFault.js';
 import { injectFault } from '../../src/faults/injectFault.js';
 
-/** A world whose gateways only note the signals that they get. */
-function worldOf(gateways: number): {
-  readonly world: FaultWorld;
+/** Returns a fault context whose gateways only record the signals sent to them. */
+function contextOf(gateways: number): {
+  readonly context: FaultContext;
   readonly signals: readonly string[];
 } {
   const signals: string[] = [];
@@ -22,16 +22,16 @@
     })),
     replicas: [],
   };
-  const world = { fleet, bounds: { graceMs: 1 } } as unknown as FaultWorld;
-  return { world, signals };
+  const context = { fleet, bounds: { graceMs: 1 } } as unknown as FaultContext;
+  return { context, signals };
 }
 
 describe('injectFault', ({ it }) => {
-  // Gateways are stopped one after the other and one of them cuts a request. It is
-  // found only if each of these stops is on record as such.
-  it('records each stop of a series as a stop of its own', async t => {
-    const { world, signals } = worldOf(2);
-    const done: DoneFault[] = [];
+  // When gateways are stopped one after another and one of them cuts a request, the
+  // check on graceful stops finds it only if each stop is recorded separately.
+  it('records each stop of a rolling stop as a separate fault', async t => {
+    const { context, signals } = contextOf(2);
+    const started: InjectedFault[] = [];
     await injectFault(
       {
         kind: 'gateway-rolling-stop',
@@ -40,18 +40,18 @@
         target: 0,
         strength: 0,
       },
-      world,
-      fault => done.push(fault),
+      context,
+      fault => started.push(fault),
     );
     t.deepEqual(signals, ['0 SIGTERM', '1 SIGTERM']);
     t.deepEqual(
-      done.map(({ kind, target }) => [kind, target.index]),
+      started.map(({ kind, target }) => [kind, target.index]),
       [
         ['gateway-rolling-stop', null],
         ['gateway-stop', 0],
         ['gateway-stop', 1],
       ],
     );
-    t.true(done.every(({ planned, toMs }) => planned && toMs < Infinity));
+    t.true(started.every(({ planned, toMs }) => planned && toMs < Infinity));
   });
 });
--- a/packages/soak/tests/faults/planFaults.test.ts
+++ b/packages/soak/tests/faults/planFaults.test.ts
@@ -1,13 +1,14 @@
 import { describe } from '@jujubecroft/testing';
 
 import {
-  CALM_MS,
+  COOLDOWN_MS,
   FAULT_KINDS,
   planFaults,
 } from '../../src/faults/planFaults.js';
 
 const SECONDS = 40;
-const LONG: readonly string[] = ['crashing-request', 'replica-limit'];
+/** Kinds of long faults. */
+const LONG_KINDS: readonly string[] = ['crashing-request', 'replica-limit'];
 const SEEDS = Array.from({ length: 100 }, (_, index) => index + 1);
 
 describe('planFaults', ({ it }) => {
@@ -16,15 +17,15 @@
     t.notDeepEqual(planFaults(7, SECONDS), planFaults(8, SECONDS));
   });
 
-  it('ends every fault before the calm', t => {
+  it('ends every fault before the fault-free period at the end', t => {
     SEEDS.flatMap(seed => planFaults(seed, SECONDS)).forEach(
       ({ atMs, forMs }) => {
-        t.true(atMs + forMs <= SECONDS * 1000 - CALM_MS);
+        t.true(atMs + forMs <= SECONDS * 1000 - COOLDOWN_MS);
       },
     );
   });
 
-  it('lets faults overlap and come again', t => {
+  it('draws faults that overlap and faults that repeat', t => {
     const plans = SEEDS.map(seed => planFaults(seed, SECONDS));
     const overlaps = plans.filter(plan =>
       plan.some((fault, index) => {
@@ -32,27 +33,29 @@
         return next !== undefined && next.atMs < fault.atMs + fault.forMs;
       }),
     );
-    const again = plans.filter(
+    const repeated = plans.filter(
       plan => new Set(plan.map(({ kind }) => kind)).size < plan.length,
     );
     t.true(overlaps.length > SEEDS.length / 2);
-    t.true(again.length > SEEDS.length / 2);
+    t.true(repeated.length > SEEDS.length / 2);
   });
 
-  it('draws the longer faults apart from the others', t => {
-    const short = FAULT_KINDS.filter(kind => !LONG.includes(kind));
+  it('draws the long faults independently of the short ones', t => {
+    const short = FAULT_KINDS.filter(kind => !LONG_KINDS.includes(kind));
     const withLong = SEEDS.map(seed => planFaults(seed, SECONDS));
-    const without = SEEDS.map(seed => planFaults(seed, SECONDS, short));
+    const withoutLong = SEEDS.map(seed => planFaults(seed, SECONDS, short));
     t.deepEqual(
-      withLong.map(plan => plan.filter(({ kind }) => !LONG.includes(kind))),
-      without,
+      withLong.map(plan =>
+        plan.filter(({ kind }) => !LONG_KINDS.includes(kind)),
+      ),
+      withoutLong,
     );
-    LONG.forEach(long => {
+    LONG_KINDS.forEach(long => {
       t.true(withLong.some(plan => plan.some(({ kind }) => kind === long)));
     });
   });
 
-  it('draws only from the kinds that it is given', t => {
+  it('draws only from the given kinds', t => {
     const plan = planFaults(3, SECONDS, ['gateway-kill', 'store-away']);
     t.true(plan.length > 0);
     t.true(
--- a/packages/soak/tests/promises/allPromises.test.ts
+++ b/packages/soak/tests/promises/allPromises.test.ts
@@ -1,44 +1,44 @@
 import { describe } from '@jujubecroft/testing';
 
 import type { Evidence } from '../../src/evidence.js';
-import { ALL_PROMISES } from '../../src/promises/allPromises.js';
+import { ALL_INVARIANTS } from '../../src/promises/allPromises.js';
 import { EvidenceIndex } from '../../src/promises/EvidenceIndex.js';
 import {
-  answerOf,
+  responseOf,
   evidenceOf,
   faultOf,
-  runOf,
-  sentOf,
+  executionOf,
+  requestOf,
 } from './evidenceFixture.js';
 
-/** Names of the promises that some evidence breaks. */
-function brokenBy(evidence: Evidence): readonly string[] {
+/** Returns the names of the invariants that some evidence violates. */
+function violatedBy(evidence: Evidence): readonly string[] {
   const index = new EvidenceIndex(evidence);
-  return ALL_PROMISES.filter(
-    // A few requests are no measure of recovery.
+  return ALL_INVARIANTS.filter(
+    // Recovery is measured over more requests than these cases have.
     ({ name }) => name !== 'serves-again',
   )
     .filter(({ check }) => check(evidence, index).length > 0)
     .map(({ name }) => name);
 }
 
-const safe = sentOf('q-1', 'safe');
-const unsafe = sentOf('q-2', 'unsafe');
-const stream = sentOf('q-3', 'resumable');
-const gateway0 = { what: 'gateway', index: 0 } as const;
+const safe = requestOf('q-1', 'safe');
+const unsafe = requestOf('q-2', 'unsafe');
+const resumable = requestOf('q-3', 'resumable');
+const gateway0 = { component: 'gateway', index: 0 } as const;
 
-/** A request that ends whatever runs it, repeated once a second. */
+/** A request that crashes each replica that executes it, repeated once a second. */
 const crashing = Array.from({ length: 11 }, (_, index) =>
-  sentOf(`c-${index}`, 'safe', {
+  requestOf(`c-${index}`, 'safe', {
     sentMs: 10_000 + 1000 * index,
     body: JSON.stringify({ workMs: 100, events: 0, gapMs: 0, crashes: true }),
   }),
 );
-/** Ten requests a second at a replica that takes one. */
-const crowd = Array.from({ length: 90 }, (_, index) =>
-  sentOf(`l-${index}`, 'safe', { sentMs: 10_000 + 100 * index }),
+/** Ten requests per second to a replica with a limit of one per second. */
+const overLimit = Array.from({ length: 90 }, (_, index) =>
+  requestOf(`l-${index}`, 'safe', { sentMs: 10_000 + 100 * index }),
 );
-const limitOfOne = {
+const limitOfOnePerS = {
   type: 'limit',
   replica: 'r-1',
   atMs: 10_000,
@@ -53,95 +53,106 @@
 
 const CASES: readonly Case[] = [
   {
-    title: 'keep everything when each request has its answer',
+    title: 'hold when each request has its response',
     seen: {
-      sent: [safe, unsafe, stream],
-      notes: [runOf(safe, 'r-1'), runOf(unsafe, 'r-1'), runOf(stream, 'r-2')],
+      sent: [safe, unsafe, resumable],
+      notes: [
+        executionOf(safe, 'r-1'),
+        executionOf(unsafe, 'r-1'),
+        executionOf(resumable, 'r-2'),
+      ],
       answers: [
-        answerOf(safe, 'r-1'),
-        answerOf(unsafe, 'r-1'),
-        answerOf(stream, 'r-2'),
+        responseOf(safe, 'r-1'),
+        responseOf(unsafe, 'r-1'),
+        responseOf(resumable, 'r-2'),
       ],
     },
     broken: [],
   },
   {
-    title: 'notice an unsafe request that ran twice',
+    title: 'report an unsafe request that was executed twice',
     seen: {
       sent: [unsafe],
-      notes: [runOf(unsafe, 'r-1'), runOf(unsafe, 'r-2')],
+      notes: [executionOf(unsafe, 'r-1'), executionOf(unsafe, 'r-2')],
     },
     broken: ['at-most-once'],
   },
   {
-    title: 'notice a request that is sent on after three crashes',
+    title: 'report a request that is forwarded after three crashes',
     seen: {
       sent: crashing,
-      notes: crashing.map((sent, index) => runOf(sent, `r-${index}`)),
+      notes: crashing.map((sent, index) => executionOf(sent, `r-${index}`)),
     },
     broken: ['crashing-requests'],
   },
   {
-    title: 'let the repeats pass that are sent before the third is known',
+    title: 'accept repeats sent before the third crash is known',
     seen: {
       sent: crashing.slice(0, 8),
       notes: crashing
         .slice(0, 8)
-        .map((sent, index) => runOf(sent, `r-${index}`)),
+        .map((sent, index) => executionOf(sent, `r-${index}`)),
     },
     broken: [],
   },
   {
-    title: 'notice more at a replica than the limit that it names',
+    title: 'report more requests to a replica than its rate limit allows',
     seen: {
-      sent: crowd,
-      notes: [limitOfOne, ...crowd.map(sent => runOf(sent, 'r-1'))],
-      answers: crowd.map(sent =>
-        answerOf(sent, 'r-1', { endedMs: sent.sentMs + 100 }),
+      sent: overLimit,
+      notes: [
+        limitOfOnePerS,
+        ...overLimit.map(sent => executionOf(sent, 'r-1')),
+      ],
+      answers: overLimit.map(sent =>
+        responseOf(sent, 'r-1', { endedMs: sent.sentMs + 100 }),
       ),
     },
     broken: ['replica-limits'],
   },
   {
-    title: 'let as many pass where the limit has ended',
+    title: 'accept the same number of requests once the rate limit has ended',
     seen: {
-      sent: crowd,
+      sent: overLimit,
       notes: [
-        limitOfOne,
-        { ...limitOfOne, atMs: 10_500, perS: null },
-        ...crowd.map(sent => runOf(sent, 'r-1')),
+        limitOfOnePerS,
+        { ...limitOfOnePerS, atMs: 10_500, perS: null },
+        ...overLimit.map(sent => executionOf(sent, 'r-1')),
       ],
-      answers: crowd.map(sent =>
-        answerOf(sent, 'r-1', { endedMs: sent.sentMs + 100 }),
+      answers: overLimit.map(sent =>
+        responseOf(sent, 'r-1', { endedMs: sent.sentMs + 100 }),
       ),
     },
     broken: [],
   },
   {
-    title: 'notice a refusal of what ran',
+    title: 'report a refusal of a request that was executed',
     seen: {
       sent: [unsafe],
-      notes: [runOf(unsafe, 'r-1')],
-      answers: [answerOf(unsafe, 'r-1', { status: 503, body: '', mark: null })],
+      notes: [executionOf(unsafe, 'r-1')],
+      answers: [
+        responseOf(unsafe, 'r-1', { status: 503, body: '', stamp: null }),
+      ],
     },
     broken: ['true-refusals'],
   },
   {
-    title: 'notice an answer that ends early and looks whole',
+    title: 'report a truncated response that looks complete',
     seen: {
-      sent: [stream],
-      notes: [runOf(stream, 'r-1')],
-      answers: [answerOf(stream, 'r-1', { body: 'id: 1\ndata: q-3 1\n\n' })],
+      sent: [resumable],
+      notes: [executionOf(resumable, 'r-1')],
+      answers: [
+        responseOf(resumable, 'r-1', { body: 'id: 1\ndata: q-3 1\n\n' }),
+      ],
     },
     broken: ['whole-own-answers'],
   },
   {
-    title: 'let an answer that is visibly cut pass',
+    title: 'accept a response that is visibly truncated',
     seen: {
-      sent: [stream],
-      notes: [runOf(stream, 'r-1')],
+      sent: [resumable],
+      notes: [executionOf(resumable, 'r-1')],
       answers: [
-        answerOf(stream, 'r-1', {
+        responseOf(resumable, 'r-1', {
           body: 'id: 1\ndata: q-3 1\n\n',
           whole: false,
         }),
@@ -150,70 +161,71 @@
     broken: [],
   },
   {
-    title: 'notice the answer of another run',
+    title: 'report a response that no execution of the request produced',
     seen: {
       sent: [safe],
-      notes: [runOf(safe, 'r-1')],
-      answers: [answerOf(safe, 'r-9')],
+      notes: [executionOf(safe, 'r-1')],
+      answers: [responseOf(safe, 'r-9')],
     },
     broken: ['whole-own-answers'],
   },
   {
-    title: 'notice a changed body and a foreign organisation',
+    title: 'report a request that arrives for another organisation',
     seen: {
       sent: [safe],
-      notes: [runOf(safe, 'r-1', { organisation: 'org-2' })],
+      notes: [executionOf(safe, 'r-1', { organisation: 'org-2' })],
     },
     broken: ['unchanged-requests'],
   },
   {
-    title: 'notice a request that nobody sent',
-    seen: { notes: [runOf(safe, 'r-1')] },
+    title: 'report a request that no caller sent',
+    seen: { notes: [executionOf(safe, 'r-1')] },
     broken: ['unchanged-requests'],
   },
   {
-    title: 'notice more attempts than allowed, and repeats beyond the budget',
+    title: 'report more attempts than allowed and retries beyond the budget',
     seen: {
       sent: [safe],
-      notes: [1, 2, 3, 4].map(number => runOf(safe, `r-${number}`)),
+      notes: [1, 2, 3, 4].map(number => executionOf(safe, `r-${number}`)),
     },
     broken: ['bounded-attempts', 'bounded-retries'],
   },
   {
-    title: 'notice requests to a replica long after it began to leave',
+    title: 'report a request to a replica long after it started to leave',
     seen: {
       sent: [safe],
-      notes: [runOf(safe, 'r-1')],
-      leaving: [{ replica: 'r-1', ackedMs: 7000, backMs: Infinity }],
+      notes: [executionOf(safe, 'r-1')],
+      leaving: [{ replica: 'r-1', ackedMs: 7000, returnedMs: Infinity }],
     },
     broken: ['leaving-replicas'],
   },
   {
-    // A paused replica's entry runs out; it wakes, its entry is back, and it is
-    // asked again as it should be.
-    title: 'let requests pass to a replica whose entry came back',
+    // The entry of a paused replica expires. When the replica resumes, its entry is
+    // written again, and gateways rightly send it requests.
+    title: 'accept a request to a replica whose entry is ready again',
     seen: {
       sent: [safe],
-      notes: [runOf(safe, 'r-1')],
-      leaving: [{ replica: 'r-1', ackedMs: 7000, backMs: 9500 }],
+      notes: [executionOf(safe, 'r-1')],
+      leaving: [{ replica: 'r-1', ackedMs: 7000, returnedMs: 9500 }],
     },
     broken: [],
   },
   {
-    title: 'notice requests to a replica before its entry came back',
+    title: 'report a request to a replica before its entry is ready again',
     seen: {
       sent: [safe],
-      notes: [runOf(safe, 'r-1')],
-      leaving: [{ replica: 'r-1', ackedMs: 7000, backMs: 11_000 }],
+      notes: [executionOf(safe, 'r-1')],
+      leaving: [{ replica: 'r-1', ackedMs: 7000, returnedMs: 11_000 }],
     },
     broken: ['leaving-replicas'],
   },
   {
-    title: 'excuse a gateway that was paused meanwhile',
+    title:
+      'accept a late request to a leaving replica from a gateway that was paused',
     seen: {
       sent: [safe],
-      notes: [runOf(safe, 'r-1')],
-      leaving: [{ replica: 'r-1', ackedMs: 7000, backMs: Infinity }],
+      notes: [executionOf(safe, 'r-1')],
+      leaving: [{ replica: 'r-1', ackedMs: 7000, returnedMs: Infinity }],
       faults: [
         faultOf('gateway-pause', gateway0, { fromMs: 7500, toMs: 9500 }),
       ],
@@ -221,44 +233,49 @@
     broken: [],
   },
   {
-    title: 'notice an answer that a planned stop cuts',
+    title: 'report a response that is cut by a planned stop',
     seen: {
       sent: [safe],
-      notes: [runOf(safe, 'r-1')],
+      notes: [executionOf(safe, 'r-1')],
       answers: [
-        answerOf(safe, 'r-1', { whole: false, status: null, body: '' }),
+        responseOf(safe, 'r-1', { whole: false, status: null, body: '' }),
       ],
       faults: [faultOf('gateway-stop', gateway0, { planned: true })],
     },
     broken: ['graceful-stops'],
   },
   {
-    title: 'notice a configuration that is not in force in time',
+    title: 'report a configuration that is not in force in time',
     seen: {
-      sent: [sentOf('q-4', 'probe', { version: 5 })],
-      answers: [answerOf(sentOf('q-4', 'probe'), '', { status: 404 })],
-      configured: [{ version: 5, ackedMs: 7000, droppedMs: Infinity }],
+      sent: [requestOf('q-4', 'probe', { version: 5 })],
+      answers: [responseOf(requestOf('q-4', 'probe'), '', { status: 404 })],
+      configurationWrites: [
+        { version: 5, ackedMs: 7000, routeRemovedMs: Infinity },
+      ],
     },
     broken: ['configuration-in-force'],
   },
   {
-    title: 'notice a configuration that a process forgets',
+    title:
+      'report a configuration that is no longer in force at the same process',
     seen: {
       sent: [
-        sentOf('q-5', 'probe', { version: 5, sentMs: 9800 }),
-        sentOf('q-6', 'probe', { version: 5, sentMs: 11_000 }),
+        requestOf('q-5', 'probe', { version: 5, sentMs: 9800 }),
+        requestOf('q-6', 'probe', { version: 5, sentMs: 11_000 }),
       ],
       notes: [],
       answers: [
-        { ...answerOf(sentOf('q-5', 'safe'), 'r-1'), endedMs: 9900 },
-        answerOf(sentOf('q-6', 'probe'), '', { status: 404 }),
+        { ...responseOf(requestOf('q-5', 'safe'), 'r-1'), endedMs: 9900 },
+        responseOf(requestOf('q-6', 'probe'), '', { status: 404 }),
+      ],
+      configurationWrites: [
+        { version: 5, ackedMs: 9700, routeRemovedMs: Infinity },
       ],
-      configured: [{ version: 5, ackedMs: 9700, droppedMs: Infinity }],
     },
     broken: ['configuration-in-force', 'whole-own-answers'],
   },
   {
-    title: 'notice two gateways that call under one token',
+    title: 'report two gateways that use the same fencing token',
     seen: {
       dutyCalls: [
         { holder: 'gateway-0', token: 3, window: 7, counts: '{}' },
@@ -268,7 +285,7 @@
     broken: ['duties-of-one'],
   },
   {
-    title: 'notice a window that is reported with two counts',
+    title: 'report a window that is reported with different counts',
     seen: {
       dutyCalls: [
         { holder: 'gateway-0', token: 3, window: 7, counts: '{"a":1}' },
@@ -279,59 +296,59 @@
   },
 ];
 
-describe('promises of the soak', ({ it }) => {
+describe('soak invariants', ({ it }) => {
   CASES.forEach(({ title, seen, broken }) => {
     it(title, t => {
-      t.deepEqual(brokenBy(evidenceOf(seen)), broken);
+      t.deepEqual(violatedBy(evidenceOf(seen)), broken);
     });
   });
 
-  it('notice work for callers that left', t => {
+  it('report executions that continue after the caller aborted', t => {
     const left = Array.from({ length: 10 }, (_, index) =>
-      sentOf(`l-${index}`, 'safe'),
+      requestOf(`l-${index}`, 'safe'),
     );
     const evidence = evidenceOf({
       sent: left,
-      notes: left.map(sent => runOf(sent, 'r-1', { endsMs: 15_000 })),
+      notes: left.map(sent => executionOf(sent, 'r-1', { endsMs: 15_000 })),
       answers: left.map(sent =>
-        answerOf(sent, '', { status: null, whole: false, leftMs: 10_100 }),
+        responseOf(sent, '', { status: null, whole: false, leftMs: 10_100 }),
       ),
     });
-    t.deepEqual(brokenBy(evidence), ['cancelled-work']);
+    t.deepEqual(violatedBy(evidence), ['cancelled-work']);
   });
 
-  // A run ends a few seconds after the time to recover. Whoever asked within them
-  // was served; that their time limit lies beyond the end says nothing.
-  it('count what was asked shortly before the end', t => {
+  // A run ends a few seconds after the recovery time. Requests sent in these seconds
+  // count even if their time limit lies beyond the end of the run.
+  it('count requests sent shortly before the end of the run as served', t => {
     const last = Array.from({ length: 30 }, (_, index) =>
-      sentOf(`e-${index}`, 'safe', { sentMs: 59_000 }),
+      requestOf(`e-${index}`, 'safe', { sentMs: 59_000 }),
     );
     const evidence = evidenceOf({
       sent: last,
-      notes: last.map(sent => runOf(sent, 'r-1')),
-      answers: last.map(sent => answerOf(sent, 'r-1')),
-      calmFromMs: 50_000,
+      notes: last.map(sent => executionOf(sent, 'r-1')),
+      answers: last.map(sent => responseOf(sent, 'r-1')),
+      cooldownFromMs: 50_000,
     });
     const index = new EvidenceIndex(evidence);
-    const broken = ALL_PROMISES.filter(
+    const broken = ALL_INVARIANTS.filter(
       ({ check }) => check(evidence, index).length > 0,
     );
     t.deepEqual(broken, []);
   });
 
-  it('notice a system that does not serve again', t => {
+  it('report a system that does not recover after the last fault', t => {
     const late = Array.from({ length: 30 }, (_, index) =>
-      sentOf(`s-${index}`, 'safe', { sentMs: 20_000 }),
+      requestOf(`s-${index}`, 'safe', { sentMs: 20_000 }),
     );
     const evidence = evidenceOf({
       sent: late,
       answers: late.map(sent =>
-        answerOf(sent, '', { status: 503, body: '', mark: null }),
+        responseOf(sent, '', { status: 503, body: '', stamp: null }),
       ),
-      calmFromMs: 12_000,
+      cooldownFromMs: 12_000,
     });
     const index = new EvidenceIndex(evidence);
-    const broken = ALL_PROMISES.filter(
+    const broken = ALL_INVARIANTS.filter(
       ({ check }) => check(evidence, index).length > 0,
     );
     t.deepEqual(
--- a/packages/soak/tests/promises/evidenceFixture.ts
+++ b/packages/soak/tests/promises/evidenceFixture.ts
@@ -1,42 +1,43 @@
 import { plainBody, streamBody } from '../../src/answers.js';
 import type {
-  DoneFault,
+  InjectedFault,
   Evidence,
-  GotNote,
+  ReceivedNote,
   ReplicaNote,
-  SeenAnswer,
+  ObservedResponse,
   SentRequest,
   SoakBounds,
   SoakKind,
 } from '../../src/evidence.js';
 
 const BOUNDS: SoakBounds = {
-  contactMs: 3000,
+  faultFreeMs: 3000,
   drainMs: 2000,
   graceMs: 5000,
-  configurationMs: 2000,
+  configurationPropagationMs: 2000,
   retryRatio: 0.2,
   retryExtra: 2,
   retryWindowMs: 10_000,
   attempts: 2,
   slackMs: 0,
 };
-const EVENTS = 5;
+const EVENT_COUNT = 5;
 const SENT_MS = 10_000;
 const ENDED_MS = 10_400;
 const END_MS = 60_000;
 
-function workFor(kind: SoakKind): string {
-  const streams = kind === 'stream' || kind === 'resumable';
+/** Returns the body of a request of a kind. */
+function bodyFor(kind: SoakKind): string {
+  const isStreaming = kind === 'stream' || kind === 'resumable';
   return JSON.stringify({
     workMs: 100,
-    events: streams ? EVENTS : 0,
+    events: isStreaming ? EVENT_COUNT : 0,
     gapMs: 10,
   });
 }
 
-/** A request as one caller sends it. */
-export function sentOf(
+/** Returns a request as a caller sends it. */
+export function requestOf(
   id: string,
   kind: SoakKind,
   changes: Partial<SentRequest> = {},
@@ -49,19 +50,19 @@
     sentMs: SENT_MS,
     timeLimitMs: 4000,
     target: `/${kind}/x`,
-    body: workFor(kind),
+    body: bodyFor(kind),
     organisation: 'org-1',
     version: null,
     ...changes,
   };
 }
 
-/** Its run at a replica. */
-export function runOf(
+/** Returns the note of a replica that executed a request. */
+export function executionOf(
   sent: SentRequest,
   replica: string,
-  changes: Partial<GotNote> = {},
-): GotNote {
+  changes: Partial<ReceivedNote> = {},
+): ReceivedNote {
   const { id, target, body, organisation, timeLimitMs, sentMs } = sent;
   return {
     type: 'got',
@@ -80,32 +81,32 @@
   };
 }
 
-/** Its whole answer. */
-export function answerOf(
+/** Returns the complete response of a replica to a request. */
+export function responseOf(
   { id, kind }: SentRequest,
   replica: string,
-  changes: Partial<SeenAnswer> = {},
-): SeenAnswer {
-  const mark = `${replica}/${id}`;
-  const streams = kind === 'stream' || kind === 'resumable';
+  changes: Partial<ObservedResponse> = {},
+): ObservedResponse {
+  const stamp = `${replica}/${id}`;
+  const isStreaming = kind === 'stream' || kind === 'resumable';
   return {
     id,
     endedMs: ENDED_MS,
     status: 200,
-    body: streams ? streamBody(id, 1, EVENTS) : plainBody(id, mark),
+    body: isStreaming ? streamBody(id, 1, EVENT_COUNT) : plainBody(id, stamp),
     whole: true,
     leftMs: null,
-    mark,
+    stamp,
     ...changes,
   };
 }
 
-/** A fault of the given span. */
+/** Returns an unplanned fault at the time at which requests are sent. */
 export function faultOf(
   kind: string,
-  target: DoneFault['target'],
-  changes: Partial<DoneFault> = {},
-): DoneFault {
+  target: InjectedFault['target'],
+  changes: Partial<InjectedFault> = {},
+): InjectedFault {
   return {
     kind,
     target,
@@ -116,23 +117,23 @@
   };
 }
 
-/** Evidence with what a test is about. */
+/** Returns evidence with the given observations, empty otherwise. */
 export function evidenceOf(
-  seen: Partial<Omit<Evidence, 'answers'>> & {
-    readonly answers?: readonly SeenAnswer[];
+  observations: Partial<Omit<Evidence, 'answers'>> & {
+    readonly answers?: readonly ObservedResponse[];
     readonly notes?: readonly ReplicaNote[];
   },
 ): Evidence {
-  const { answers = [], ...rest } = seen;
+  const { answers = [], ...rest } = observations;
   return {
     bounds: BOUNDS,
     sent: [],
     notes: [],
     faults: [],
     leaving: [],
-    configured: [],
+    configurationWrites: [],
     dutyCalls: [],
-    calmFromMs: 0,
+    cooldownFromMs: 0,
     endMs: END_MS,
     ...rest,
     answers: new Map(answers.map(answer => [answer.id, answer])),
