--- a/packages/soak/src/SoakFleet.ts
+++ b/packages/soak/src/SoakFleet.ts
@@ -6,8 +6,8 @@
 import { SoakProcess } from './processes/SoakProcess.js';
 import type { ReplicaNote, SoakBounds } from './evidence.js';
 import type {
-  SoakGatewayPorts,
   SoakEnvironment,
+  SoakGatewayPorts,
   SoakReplicaPlace,
   SoakStore,
 } from './SoakEnvironment.js';
--- a/packages/soak/src/SoakRun.ts
+++ b/packages/soak/src/SoakRun.ts
@@ -6,10 +6,10 @@
 import type { CallerContext, GatewayEndpoint } from './callers/SoakCaller.js';
 import { sendRequest, SoakCaller } from './callers/SoakCaller.js';
 import type {
-  InjectedFault,
   Evidence,
-  ReplicaDeparture,
+  InjectedFault,
   ObservedResponse,
+  ReplicaDeparture,
   SentRequest,
 } from './evidence.js';
 import type { FaultContext } from './faults/injectFault.js';
@@ -35,6 +35,7 @@
 /** Combined with the seed, so that the load and the fault plan draw different numbers. */
 const LOAD_SEED_MASK = 0x5eed;
 const HTTP_OK = 200;
+/** Mean interval between crashing requests. */
 const CRASHING_MEAN_INTERVAL_MS = 500;
 /** Work of a request that crashes each replica that executes it. */
 const CRASHING_WORK: WorkOrder = {
@@ -84,7 +85,9 @@
     const context = this.#faultContext();
     const faults = plan.map(async fault => {
       await sleep(fault.atMs);
-      await injectFault(fault, context, done => this.#faults.push(done));
+      await injectFault(fault, context, injected =>
+        this.#faults.push(injected),
+      );
     });
     await Promise.all(faults);
     // Faults such as a slow stop may take longer than planned, so the fault-free
--- a/packages/soak/src/answers.ts
+++ b/packages/soak/src/answers.ts
@@ -23,8 +23,7 @@
  * the expected body and detect one that is truncated or belongs to another request.
  *
  * @param id - request id
- * @param mark - of the run
- * @returns text whose length and content depend on both
+ * @param stamp - stamp of the execution
  */
 export function plainBody(id: string, stamp: string): string {
   const unit = `${id}/${stamp};`;
--- a/packages/soak/src/callers/SoakCaller.ts
+++ b/packages/soak/src/callers/SoakCaller.ts
@@ -24,10 +24,13 @@
   readonly keyOf: (organisation: string) => string;
   /** Returns a new request id. */
   readonly nextId: () => string;
+  /** Called before a request is sent. */
   readonly onSent: (request: SentRequest) => void;
-  readonly onResponse: (answer: ObservedResponse) => void;
+  /** Called when a request has ended for the caller. */
+  readonly onResponse: (response: ObservedResponse) => void;
 }
 
+/** Value of the Host header of all requests. */
 export const CALLER_HOST = 'a.example';
 const KINDS: readonly SoakKind[] = ['safe', 'unsafe', 'stream', 'resumable'];
 const ORGANISATIONS: readonly string[] = ['org-1', 'org-2'];
@@ -160,6 +163,7 @@
   }
 }
 
+/** Result of sending one request. */
 interface ExchangeResult {
   readonly answer: ObservedResponse;
   /** Whether the connection can be reused. */
--- a/packages/soak/src/evidence.ts
+++ b/packages/soak/src/evidence.ts
@@ -166,6 +166,7 @@
 export interface Evidence {
   readonly bounds: SoakBounds;
   readonly sent: readonly SentRequest[];
+  /** Responses by request id. */
   readonly answers: ReadonlyMap<string, ObservedResponse>;
   readonly notes: readonly ReplicaNote[];
   readonly faults: readonly InjectedFault[];
--- a/packages/soak/src/faults/injectFault.ts
+++ b/packages/soak/src/faults/injectFault.ts
@@ -36,8 +36,10 @@
 
 /** Delay before a process is restarted. */
 const RESTART_DELAY_MS = 250;
+/** Number of configuration changes in a storm. */
 const STORM_CHANGES = 6;
 const STORM_GAP_MS = 120;
+/** Pause between the stops of a rolling stop. */
 const ROLLING_GAP_MS = 400;
 const MAX_DELAY_MS = 400;
 const MAX_RATE_LIMIT_PER_S = 6;
--- a/packages/soak/src/processes/runSoakReplica.ts
+++ b/packages/soak/src/processes/runSoakReplica.ts
@@ -25,6 +25,7 @@
       readonly forMs: number;
     }
   | { readonly order: 'fault'; readonly fault: ReplicaFault }
+  /** Sets the rate limit in requests per second; null for no limit. */
   | { readonly order: 'limit'; readonly perS: number | null };
 
 /** Maximum number of requests that are executed at once. */
--- a/packages/soak/src/promises/EvidenceIndex.ts
+++ b/packages/soak/src/promises/EvidenceIndex.ts
@@ -2,9 +2,9 @@
 
 import type {
   ClosedNote,
-  InjectedFault,
   Evidence,
   FaultTarget,
+  InjectedFault,
   ReceivedNote,
   SentRequest,
 } from '../evidence.js';
--- a/packages/soak/src/promises/bounded-retries.ts
+++ b/packages/soak/src/promises/bounded-retries.ts
@@ -1,9 +1,11 @@
 import type { Evidence, ReceivedNote } from '../evidence.js';
 import type { EvidenceIndex } from './EvidenceIndex.js';
-import type { Violation, SoakInvariant } from './SoakInvariant.js';
+import type { SoakInvariant, Violation } from './SoakInvariant.js';
 
+/** A request that reached a replica. */
 interface Arrival {
   readonly atMs: number;
+  /** Whether the request had reached a replica of the service before. */
   readonly isRetry: boolean;
 }
 
@@ -42,6 +44,8 @@
   const exceeded = retryTimes
     .map(toMs => {
       const fromMs = toMs - bounds.retryWindowMs;
+      // Largest number of requests sent in a window that ends at the retry, or half a
+      // window or a whole window before it.
       const requests = Math.max(
         ...[0, 0.5, 1].map(shift =>
           countIn(
--- a/packages/soak/src/promises/configuration-in-force.ts
+++ b/packages/soak/src/promises/configuration-in-force.ts
@@ -1,6 +1,6 @@
 import type { Evidence, SentRequest } from '../evidence.js';
 import type { EvidenceIndex } from './EvidenceIndex.js';
-import type { Violation, SoakInvariant } from './SoakInvariant.js';
+import type { SoakInvariant, Violation } from './SoakInvariant.js';
 
 const HTTP_NOT_FOUND = 404;
 
--- a/packages/soak/src/promises/duties-of-one.ts
+++ b/packages/soak/src/promises/duties-of-one.ts
@@ -1,5 +1,5 @@
 import type { DutyCall, Evidence } from '../evidence.js';
-import type { Violation, SoakInvariant } from './SoakInvariant.js';
+import type { SoakInvariant, Violation } from './SoakInvariant.js';
 
 function violationOf(
   { holder, token, window, counts }: DutyCall,
--- a/packages/soak/src/promises/graceful-stops.ts
+++ b/packages/soak/src/promises/graceful-stops.ts
@@ -1,4 +1,4 @@
-import type { InjectedFault, Evidence, SentRequest } from '../evidence.js';
+import type { Evidence, InjectedFault, SentRequest } from '../evidence.js';
 import type { EvidenceIndex } from './EvidenceIndex.js';
 import type { SoakInvariant } from './SoakInvariant.js';
 
--- a/packages/soak/src/promises/replica-limits.ts
+++ b/packages/soak/src/promises/replica-limits.ts
@@ -1,10 +1,12 @@
-import type { Evidence, ReceivedNote, LimitNote } from '../evidence.js';
+import type { Evidence, LimitNote, ReceivedNote } from '../evidence.js';
 import type { EvidenceIndex } from './EvidenceIndex.js';
-import type { Violation, SoakInvariant } from './SoakInvariant.js';
+import type { SoakInvariant, Violation } from './SoakInvariant.js';
 
 const WINDOW_MS = 4000;
 const MS_PER_SECOND = 1000;
+/** Factor of the rate limit that is tolerated. */
 const ALLOWED_FACTOR = 1.5;
+/** Requests tolerated in a window regardless of the rate limit. */
 const ALLOWED_EXTRA = 5;
 /**
  * Time after which a limit applies to a gateway, from when it first passed on a
--- a/packages/soak/src/runSoak.ts
+++ b/packages/soak/src/runSoak.ts
@@ -1,4 +1,4 @@
-import type { InjectedFault, Evidence } from './evidence.js';
+import type { Evidence, InjectedFault } from './evidence.js';
 import { planFaults } from './faults/planFaults.js';
 import { ALL_INVARIANTS } from './promises/allPromises.js';
 import { EvidenceIndex } from './promises/EvidenceIndex.js';
--- a/packages/soak/tests/promises/allPromises.test.ts
+++ b/packages/soak/tests/promises/allPromises.test.ts
@@ -4,11 +4,11 @@
 import { ALL_INVARIANTS } from '../../src/promises/allPromises.js';
 import { EvidenceIndex } from '../../src/promises/EvidenceIndex.js';
 import {
-  responseOf,
   evidenceOf,
-  faultOf,
   executionOf,
+  faultOf,
   requestOf,
+  responseOf,
 } from './evidenceFixture.js';
 
 /** Returns the names of the invariants that some evidence violates. */
--- a/packages/soak/tests/promises/evidenceFixture.ts
+++ b/packages/soak/tests/promises/evidenceFixture.ts
@@ -1,10 +1,10 @@
 import { plainBody, streamBody } from '../../src/answers.js';
 import type {
-  InjectedFault,
   Evidence,
+  InjectedFault,
+  ObservedResponse,
   ReceivedNote,
   ReplicaNote,
-  ObservedResponse,
   SentRequest,
   SoakBounds,
   SoakKind,
