--- a/packages/cli/src/commands/soakCommands.ts
+++ b/packages/cli/src/commands/soakCommands.ts
@@ -3,7 +3,7 @@
 import { Command, Option } from 'clipanion';
 import { cascade, isInteger, isNumber, isPositive } from 'typanion';
 
-import type { SoakReplicaPlace, SoakResult } from '@jujubecroft/soak';
+import type { SoakReplicaConfig, SoakResult } from '@jujubecroft/soak';
 
 import { EXIT } from '../exitCodes.js';
 
@@ -12,16 +12,25 @@
 const MAX_PRINTED_BREACHES = 5;
 
 function formatResult(result: SoakResult): readonly string[] {
-  const { seed, sent, served, refused, storeCalls, faults, verdicts, kept } =
-    result;
+  const {
+    seed,
+    sent,
+    served,
+    refused,
+    storeCalls,
+    faults,
+    verdicts,
+    invariantsHeld: kept,
+  } = result;
   const kinds = [...new Set(faults.map(({ kind }) => kind))].sort();
-  const broken = verdicts.flatMap(({ promise, breaches }) =>
-    breaches
-      .slice(0, MAX_PRINTED_BREACHES)
-      .map(
-        ({ request, what }) =>
-          `  BROKEN ${promise} (${breaches.length}): ${request ?? '-'}: ${what}`,
-      ),
+  const broken = verdicts.flatMap(
+    ({ invariant: promise, violations: breaches }) =>
+      breaches
+        .slice(0, MAX_PRINTED_BREACHES)
+        .map(
+          ({ request, what }) =>
+            `  BROKEN ${promise} (${breaches.length}): ${request ?? '-'}: ${what}`,
+        ),
   );
   return [
     `seed ${seed}: ${kept ? 'kept' : 'BROKEN'}; ${sent} requests, ${served} served, ${refused} refused; ${storeCalls} calls of the store; ${faults.length} faults: ${kinds.join(', ')}`,
@@ -70,9 +79,9 @@
   });
 
   async execute(): Promise<number> {
-    const { endChildrenWithThis, FAULT_KINDS, runSoak } =
+    const { killChildrenOnExit, FAULT_KINDS, runSoak } =
       await import('@jujubecroft/soak');
-    endChildrenWithThis();
+    killChildrenOnExit();
     const { soakEnvironment } = await import('@jujubecroft/platform/stand-in');
     const named = this.kinds?.split(',') ?? [];
     const unknown = named.filter(
@@ -97,7 +106,7 @@
         ...(kinds.length > 0 ? { kinds } : {}),
       });
       this.context.stdout.write(`${formatResult(result).join('\n')}\n`);
-      kept &&= result.kept;
+      kept &&= result.invariantsHeld;
     }
     return kept ? EXIT.ok : EXIT.brokenPromise;
   }
@@ -117,7 +126,7 @@
       await import('@jujubecroft/platform/stand-in');
     const place = JSON.parse(
       readFileSync(this.file, 'utf8'),
-    ) as SoakReplicaPlace;
+    ) as SoakReplicaConfig;
     runSoakReplica(place, soakReplicaDialect);
     // Never resolves: the process exits when the soak stops it or has itself
     // exited.
--- a/packages/soak/src/SoakEnvironment.ts
+++ b/packages/soak/src/SoakEnvironment.ts
@@ -44,18 +44,18 @@
   readonly port: number;
   readonly setFault: (fault: StoreFault) => void;
   /** Discards the history of changes, so that watches cannot resume from it. */
-  readonly forgetHistory: () => void;
+  readonly discardHistory: () => void;
   /** Number of calls that the store has received so far. */
   readonly calls: () => number;
   /** Reports accepted so far from the gateway that holds the duty of reporting usage. */
   readonly dutyCalls: () => readonly DutyCall[];
   /** Writes a configuration. The write is acknowledged when this returns. */
-  readonly configure: (cfg: SoakConfiguration) => void;
+  readonly writeConfiguration: (cfg: SoakConfiguration) => void;
   /**
    * Registers a listener for changes of replica entries. `isReady` is false if the
    * replica is leaving or its entry was removed.
    */
-  readonly onEntry: (
+  readonly onEntryChange: (
     listener: (replica: string, isReady: boolean) => void,
   ) => void;
   readonly close: () => Promise<void>;
@@ -82,7 +82,7 @@
 }
 
 /** Configuration of one replica process, passed to it as a JSON file. */
-export interface SoakReplicaPlace {
+export interface SoakReplicaConfig {
   readonly replica: string;
   readonly service: string;
   readonly host: string;
@@ -147,7 +147,7 @@
    * respond.
    */
   readonly announce: (
-    place: SoakReplicaPlace,
+    place: SoakReplicaConfig,
     state: 'leaving' | 'ready' | 'removed',
     sequence: number,
   ) => Promise<void>;
@@ -178,5 +178,5 @@
   /** Parses gateway addresses from a response body. Empty if there are none. */
   readonly readAddresses: (body: string) => readonly string[];
   /** Reads the stamp of an execution from response headers; null if there is none. */
-  readonly readMark: (headers: Headers) => string | null;
+  readonly readStamp: (headers: Headers) => string | null;
 }
--- a/packages/soak/src/SoakFleet.ts
+++ b/packages/soak/src/SoakFleet.ts
@@ -8,7 +8,7 @@
 import type {
   SoakEnvironment,
   SoakGatewayPorts,
-  SoakReplicaPlace,
+  SoakReplicaConfig,
   SoakStore,
 } from './SoakEnvironment.js';
 
@@ -172,7 +172,7 @@
     this.#noteFiles = [...this.#noteFiles, notesFile];
     const nameOf = (incarnation: number): string => `r-${index}-${incarnation}`;
     const program = new SoakProcess(incarnation => {
-      const config: SoakReplicaPlace = {
+      const config: SoakReplicaConfig = {
         replica: nameOf(incarnation),
         service: serviceOf(index, incarnation),
         host,
--- a/packages/soak/src/SoakOperator.ts
+++ b/packages/soak/src/SoakOperator.ts
@@ -88,7 +88,7 @@
       version,
     ].slice(-MAX_PROBE_ROUTES);
     this.#markRemovedExcept(versions);
-    this.store.configure({
+    this.store.writeConfiguration({
       version,
       routes: routesOf(versions),
       services: SERVICES,
--- a/packages/soak/src/SoakRun.ts
+++ b/packages/soak/src/SoakRun.ts
@@ -66,7 +66,7 @@
   ) {
     this.#random = createRandom(options.seed ^ LOAD_SEED_MASK);
     this.#operator = new SoakOperator(fleet.store, this.#random);
-    fleet.store.onEntry((replica, isReady) => {
+    fleet.store.onEntryChange((replica, isReady) => {
       this.#onEntry(replica, isReady);
     });
   }
--- a/packages/soak/src/callers/SoakCaller.ts
+++ b/packages/soak/src/callers/SoakCaller.ts
@@ -211,7 +211,7 @@
       signal: abort.signal,
     });
     status = res.statusCode;
-    stamp = context.environment.readMark(res.headers);
+    stamp = context.environment.readStamp(res.headers);
     for await (const chunk of res.body as AsyncIterable<Buffer>) {
       body += chunk.toString('utf8');
     }
--- a/packages/soak/src/faults/injectFault.ts
+++ b/packages/soak/src/faults/injectFault.ts
@@ -265,7 +265,7 @@
   'replica-truncates': replicaFault('truncates'),
   'store-away': storeFault('away'),
   'store-forgets': immediate(({ fleet }) => {
-    fleet.store.forgetHistory();
+    fleet.store.discardHistory();
   }),
   'store-link-cut': onLink(storeLinkOf, cutMode),
   'store-link-reset': immediate((context, fault) => {
--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -1,5 +1,5 @@
 export { FAULT_KINDS } from './faults/planFaults.js';
-export { endChildrenWithThis } from './processes/SoakProcess.js';
+export { killChildrenOnExit } from './processes/SoakProcess.js';
 export { runSoakReplica } from './processes/runSoakReplica.js';
 export type { SoakResult } from './runSoak.js';
 export { runSoak } from './runSoak.js';
--- a/packages/soak/src/processes/SoakProcess.ts
+++ b/packages/soak/src/processes/SoakProcess.ts
@@ -21,7 +21,7 @@
  * Otherwise the children of an interrupted or failed soak would keep running and
  * hold their addresses, since they do not notice that their parent has exited.
  */
-export function endChildrenWithThis(): void {
+export function killChildrenOnExit(): void {
   process.once('exit', () => {
     RUNNING_CHILDREN.forEach(child => child.kill('SIGKILL'));
   });
--- a/packages/soak/src/processes/runSoakReplica.ts
+++ b/packages/soak/src/processes/runSoakReplica.ts
@@ -9,7 +9,7 @@
 import type {
   ReplicaFault,
   SoakReplicaDialect,
-  SoakReplicaPlace,
+  SoakReplicaConfig,
   SoakRequestMetadata,
 } from '../SoakEnvironment.js';
 import { soakNow } from '../soakNow.js';
@@ -52,7 +52,7 @@
   #sequence = 0;
 
   constructor(
-    private readonly place: SoakReplicaPlace,
+    private readonly place: SoakReplicaConfig,
     private readonly dialect: SoakReplicaDialect,
   ) {
     // Notes are written synchronously, so that none is lost when the process is killed.
@@ -290,7 +290,7 @@
  * @param dialect - formats of headers and store entries
  */
 export function runSoakReplica(
-  place: SoakReplicaPlace,
+  place: SoakReplicaConfig,
   dialect: SoakReplicaDialect,
 ): void {
   new SoakReplica(place, dialect).start();
--- a/packages/soak/src/runSoak.ts
+++ b/packages/soak/src/runSoak.ts
@@ -12,8 +12,8 @@
 /** Result of checking one invariant. */
 export interface InvariantVerdict {
   /** Name of the invariant. */
-  readonly promise: string;
-  readonly breaches: readonly Violation[];
+  readonly invariant: string;
+  readonly violations: readonly Violation[];
 }
 
 /** Result of one soak. */
@@ -30,7 +30,7 @@
   readonly storeCalls: number;
   readonly verdicts: readonly InvariantVerdict[];
   /** Whether every checked invariant held. */
-  readonly kept: boolean;
+  readonly invariantsHeld: boolean;
 }
 
 const HTTP_OK = 200;
@@ -42,7 +42,10 @@
 ): readonly InvariantVerdict[] {
   const index = new EvidenceIndex(evidence);
   return ALL_INVARIANTS.filter(({ timed }) => !(timed && untimed)).map(
-    ({ name, check }) => ({ promise: name, breaches: check(evidence, index) }),
+    ({ name, check }) => ({
+      invariant: name,
+      violations: check(evidence, index),
+    }),
   );
 }
 
@@ -90,7 +93,9 @@
       ).length,
       storeCalls: fleet.store.calls(),
       verdicts,
-      kept: verdicts.every(({ breaches }) => breaches.length === 0),
+      invariantsHeld: verdicts.every(
+        ({ violations: breaches }) => breaches.length === 0,
+      ),
     };
   } finally {
     await fleet.stop();
