--- a/packages/stand-ins/src/engine/EngineDriver.ts
+++ b/packages/stand-ins/src/engine/EngineDriver.ts
@@ -1,55 +1,68 @@
 import type { EngineModel, SequenceRequest } from './EngineModel.js';
 
-/** Hears what happens to one sequence. */
+/** Callbacks for the progress of one sequence. */
 export interface SequenceListener {
+  /** Called for each generated token with its index, counted from 0. */
   readonly onToken: (index: number) => void;
+  /** Called after the last token. */
   readonly onFinished: () => void;
+  /** Called when the engine crashes before the sequence is complete. */
   readonly onLost: () => void;
 }
 
-interface Live {
+interface ActiveSequence {
   readonly listener: SequenceListener;
+  /** Number of tokens generated so far. */
   produced: number;
-  /** An open connection that gets nothing more, while the engine works on. */
+  /** Whether callbacks are suppressed while the engine goes on generating. */
   silent: boolean;
 }
 
-/** Runs an engine model in real time. */
+/**
+ * Runs an engine model in real time: each step of the model is followed by a
+ * timer that lasts as long as the step is modelled to take.
+ */
 export class EngineDriver {
-  readonly #live = new Map<string, Live>();
+  readonly #active = new Map<string, ActiveSequence>();
   #timer: NodeJS.Timeout | null = null;
-  #nextAtMs = 0;
+  #nextStepAtMs = 0;
 
   constructor(private readonly model: EngineModel) {}
 
+  /** Queues a sequence and starts stepping the model if it is idle. */
   submit(request: SequenceRequest, listener: SequenceListener): void {
-    this.#live.set(request.id, { listener, produced: 0, silent: false });
+    this.#active.set(request.id, { listener, produced: 0, silent: false });
     this.model.submit(request);
-    this.#wake();
+    this.#startStepping();
   }
 
+  /** Drops a sequence without calling its listener again. */
   cancel(id: string): void {
-    this.#live.delete(id);
+    this.#active.delete(id);
     this.model.cancel(id);
   }
 
-  /** Cuts every stream. */
+  /** Drops every sequence and the prefix cache, and calls `onLost` for each sequence. */
   crash(): void {
     this.model.reset();
-    const lost = [...this.#live.values()];
-    this.#live.clear();
+    const lost = [...this.#active.values()];
+    this.#active.clear();
     lost.forEach(({ listener }) => {
       listener.onLost();
     });
   }
 
-  /** Makes every open stream silent for good; later ones are not touched. */
+  /**
+   * Permanently suppresses the callbacks of all sequences submitted so far.
+   * Sequences submitted later are unaffected.
+   */
   silenceOpen(): void {
-    this.#live.forEach(live => {
-      live.silent = true;
+    this.#active.forEach(sequence => {
+      sequence.silent = true;
     });
   }
 
+  /** Stops stepping the model. */
   stop(): void {
     if (this.#timer) {
       clearTimeout(this.#timer);
@@ -57,16 +70,16 @@
     this.#timer = null;
   }
 
-  #wake(): void {
+  #startStepping(): void {
     if (this.#timer) {
       return;
     }
-    this.#nextAtMs = performance.now();
+    this.#nextStepAtMs = performance.now();
     this.#schedule();
   }
 
   #schedule(): void {
-    const delayMs = Math.max(0, this.#nextAtMs - performance.now());
+    const delayMs = Math.max(0, this.#nextStepAtMs - performance.now());
     this.#timer = setTimeout(() => {
       this.#step();
     }, delayMs);
@@ -84,27 +97,27 @@
     finished.forEach(id => {
       this.#finish(id);
     });
-    this.#nextAtMs += durationMs;
+    this.#nextStepAtMs += durationMs;
     this.#schedule();
   }
 
   #emit(id: string): void {
-    const live = this.#live.get(id);
-    if (!live) {
+    const sequence = this.#active.get(id);
+    if (!sequence) {
       return;
     }
-    const index = live.produced;
-    live.produced += 1;
-    if (!live.silent) {
-      live.listener.onToken(index);
+    const index = sequence.produced;
+    sequence.produced += 1;
+    if (!sequence.silent) {
+      sequence.listener.onToken(index);
     }
   }
 
   #finish(id: string): void {
-    const live = this.#live.get(id);
-    this.#live.delete(id);
-    if (live && !live.silent) {
-      live.listener.onFinished();
+    const sequence = this.#active.get(id);
+    this.#active.delete(id);
+    if (sequence && !sequence.silent) {
+      sequence.listener.onFinished();
     }
   }
 }
--- a/packages/stand-ins/src/engine/EngineModel.ts
+++ b/packages/stand-ins/src/engine/EngineModel.ts
@@ -3,66 +3,74 @@
 
 import { PrefixCache } from './PrefixCache.js';
 
-/** One sequence that an engine should generate. */
+/** Request to generate one sequence. */
 export interface SequenceRequest {
   readonly id: string;
   readonly promptTokens: number;
+  /** Identifies the prefix; sequences with the same prefix have the same hash. */
   readonly prefixHash: number;
-  /** Leading part of the prompt that other sequences share. */
+  /** Length of the prompt's leading part that other sequences may share. */
   readonly prefixTokens: number;
   readonly outputTokens: number;
-  /** Lower is served first. */
+  /** Scheduling priority; lower values are scheduled first. */
   readonly priority: number;
-  /** Whether the prompt's KV cache was imported, so that prefill is skipped. */
+  /** Whether the KV cache of the prompt was imported, so that no prefill is needed. */
   readonly imported?: boolean;
 }
 
-/** What one step of the batch brought. */
+/** Result of one step of the batch. */
 export interface StepResult {
   readonly durationMs: number;
-  /** Sequences that got one token each. */
+  /** Ids of the sequences that generated one token each. */
   readonly produced: readonly string[];
-  /** Those among them that are complete. */
+  /** Ids of the sequences that completed in this step. */
   readonly finished: readonly string[];
 }
 
 interface Sequence {
   readonly request: SequenceRequest;
-  readonly order: number;
-  prefillLeft: number;
+  readonly submissionOrder: number;
+  prefillRemaining: number;
   produced: number;
   cancelled: boolean;
 }
 
-const kvOf = ({ request, produced }: Sequence): number =>
+/** KV memory of a sequence, in tokens. */
+const kvTokensOf = ({ request, produced }: Sequence): number =>
   request.promptTokens + produced;
 
 /**
- * A continuously batching engine, reduced to its timing: a token budget per
- * step, prefill in chunks, priorities in the waiting line, bounded KV memory
- * with preemption, and a bounded prefix cache. It knows no clock; its owner
- * runs a step and lets the reported duration pass.
+ * Timing model of an inference engine with continuous batching: a token budget
+ * per step, chunked prefill, a priority queue of waiting sequences, bounded KV
+ * memory with preemption, and a bounded prefix cache. The model has no clock:
+ * the caller runs a step and then waits for the duration that it returns.
  */
 export class EngineModel {
+  /** Factor on the duration of every step; simulates a straggler when above 1. */
   slowdown = 1;
+  /** Total number of tokens generated, including those of cancelled sequences. */
   generatedTokens = 0;
   readonly cache: PrefixCache;
   readonly #sequences = new Map<string, Sequence>();
   #waiting = new Heap<Sequence>(
-    (a, b) => a.request.priority - b.request.priority || a.order - b.order,
+    (a, b) =>
+      a.request.priority - b.request.priority ||
+      a.submissionOrder - b.submissionOrder,
   );
   #running: Sequence[] = [];
   #waitingCount = 0;
-  #order = 0;
+  #lastSubmissionOrder = 0;
 
   constructor(private readonly settings: EngineModelSettings) {
     this.cache = new PrefixCache(settings.prefixCacheTokens);
   }
 
+  /** Number of sequences in the batch. */
   get running(): number {
     return this.#running.length;
   }
 
+  /** Number of sequences waiting to enter the batch. */
   get waiting(): number {
     return this.#waitingCount;
   }
@@ -71,12 +79,13 @@
     return this.#running.length === 0 && this.#waitingCount === 0;
   }
 
+  /** Adds a sequence to the waiting queue. */
   submit(request: SequenceRequest): void {
-    this.#order += 1;
+    this.#lastSubmissionOrder += 1;
     const sequence: Sequence = {
       request,
-      order: this.#order,
-      prefillLeft: 0,
+      submissionOrder: this.#lastSubmissionOrder,
+      prefillRemaining: 0,
       produced: 0,
       cancelled: false,
     };
@@ -84,7 +93,7 @@
     this.#enqueue(sequence);
   }
 
-  /** Drops a sequence; it costs nothing from the next step on. */
+  /** Drops a sequence; from the next step on it takes no tokens and no memory. */
   cancel(id: string): void {
     const sequence = this.#sequences.get(id);
     if (!sequence) {
@@ -97,7 +106,11 @@
     this.#waitingCount -= wasRunning ? 0 : 1;
   }
 
-  /** Loses everything, as a crash does. */
+  /**
+   * Drops all sequences and the prefix cache, as a crash does.
+   *
+   * @returns ids of the dropped sequences
+   */
   reset(): readonly string[] {
     const lost = [...this.#sequences.keys()];
     this.#sequences.clear();
@@ -108,12 +121,16 @@
     return lost;
   }
 
-  /** Runs one step of the batch. */
+  /**
+   * Runs one step of the batch: admits waiting sequences, preempts if KV memory
+   * overflows, decodes one token for each prefilled sequence, and spends the rest
+   * of the token budget on prefill.
+   */
   step(): StepResult {
     this.#admit();
     this.#preempt();
     const decoding = this.#running.filter(
-      ({ prefillLeft }) => prefillLeft === 0,
+      ({ prefillRemaining }) => prefillRemaining === 0,
     );
     const prefilled = this.#prefill(
       Math.max(0, this.settings.stepTokenBudget - decoding.length),
@@ -138,9 +155,10 @@
     this.#waitingCount += 1;
   }
 
+  /** Moves waiting sequences into the batch while its size and KV memory allow. */
   #admit(): void {
     const { maxBatch, kvTokens } = this.settings;
-    let used = this.#kvUsed();
+    let usedTokens = this.#kvUsed();
     let next = this.#waiting.peek();
     while (next && this.#running.length < maxBatch) {
       if (next.cancelled) {
@@ -148,12 +166,15 @@
         next = this.#waiting.peek();
         continue;
       }
-      if (this.#running.length > 0 && used + kvOf(next) > kvTokens) {
+      if (
+        this.#running.length > 0 &&
+        usedTokens + kvTokensOf(next) > kvTokens
+      ) {
         return;
       }
       this.#waiting.pop();
       this.#waitingCount -= 1;
-      used += kvOf(next);
+      usedTokens += kvTokensOf(next);
       this.#start(next);
       next = this.#waiting.peek();
     }
@@ -161,14 +182,18 @@
 
   #start(sequence: Sequence): void {
     const { prefixHash, prefixTokens, imported } = sequence.request;
-    const cached = this.cache.use(prefixHash, prefixTokens);
-    const saved = imported ? kvOf(sequence) : cached;
-    // The last token of a prompt is always computed, to get the first logits.
-    sequence.prefillLeft = Math.max(1, kvOf(sequence) - saved);
+    const cached = this.cache.lookUp(prefixHash, prefixTokens);
+    const skipped = imported ? kvTokensOf(sequence) : cached;
+    // At least the last token of the prompt is computed, since its logits give the
+    // first output token.
+    sequence.prefillRemaining = Math.max(1, kvTokensOf(sequence) - skipped);
     this.#running.push(sequence);
   }
 
-  /** Gives KV memory back when it overflows: the lowest priority recomputes later. */
+  /**
+   * Frees KV memory when it overflows: returns the running sequences of lowest
+   * priority to the queue, which are then prefilled again.
+   */
   #preempt(): void {
     while (
       this.#running.length > 1 &&
@@ -182,13 +207,14 @@
     }
   }
 
+  /** @returns number of tokens prefilled, at most `budget` */
   #prefill(budget: number): number {
-    const inPrefill = this.#running.filter(
-      ({ prefillLeft }) => prefillLeft > 0,
+    const prefilling = this.#running.filter(
+      ({ prefillRemaining }) => prefillRemaining > 0,
     );
-    const left = inPrefill.reduce((rest, sequence) => {
-      const chunk = Math.min(rest, sequence.prefillLeft);
-      sequence.prefillLeft -= chunk;
+    const left = prefilling.reduce((rest, sequence) => {
+      const chunk = Math.min(rest, sequence.prefillRemaining);
+      sequence.prefillRemaining -= chunk;
       return rest - chunk;
     }, budget);
     return budget - left;
@@ -210,6 +236,9 @@
   }
 
   #kvUsed(): number {
-    return this.#running.reduce((sum, sequence) => sum + kvOf(sequence), 0);
+    return this.#running.reduce(
+      (sum, sequence) => sum + kvTokensOf(sequence),
+      0,
+    );
   }
 }
--- a/packages/stand-ins/src/engine/PrefixCache.ts
+++ b/packages/stand-ins/src/engine/PrefixCache.ts
@@ -1,11 +1,11 @@
-/** A change of the prefix cache, as engines publish it. */
+/** A change of the prefix cache, in the form that the engine publishes. */
 export interface CacheEvent {
   readonly kind: 'evicted' | 'stored';
   readonly prefixHash: number;
   readonly tokens: number;
 }
 
-/** Prompt prefixes in bounded memory; the least recently used goes first. */
+/** LRU cache of prompt prefixes, bounded by their total number of tokens. */
 export class PrefixCache {
   readonly #entries = new Map<number, number>();
   #tokens = 0;
@@ -14,13 +14,13 @@
   constructor(private readonly capacity: number) {}
 
   /**
-   * Looks a prefix up and stores it when it is missing.
+   * Looks up a prefix, and stores it on a miss unless it exceeds the capacity.
    *
-   * @param prefixHash - identity of the prefix
-   * @param tokens - its length
-   * @returns tokens that need no prefill; 0 on a miss
+   * @param prefixHash - hash that identifies the prefix
+   * @param tokens - length of the prefix
+   * @returns number of tokens that need no prefill; 0 on a miss
    */
-  use(prefixHash: number, tokens: number): number {
+  lookUp(prefixHash: number, tokens: number): number {
     const cached = this.#entries.get(prefixHash);
     if (cached !== undefined) {
       this.#entries.delete(prefixHash);
@@ -33,13 +33,14 @@
     return 0;
   }
 
-  /** @returns changes since the last call */
-  takeEvents(): readonly CacheEvent[] {
+  /** @returns the stored and evicted prefixes since the last call, oldest first */
+  drainEvents(): readonly CacheEvent[] {
     const events = this.#events;
     this.#events = [];
     return events;
   }
 
+  /** Removes all prefixes without publishing events for them. */
   clear(): void {
     this.#entries.clear();
     this.#tokens = 0;
--- a/packages/stand-ins/src/engine/chatSchema.ts
+++ b/packages/stand-ins/src/engine/chatSchema.ts
@@ -1,20 +1,20 @@
 import { z } from 'zod';
 
-/** The part of the chat-completions request that the engine understands. */
+/** Fields of a chat-completions request that the engine supports; others are ignored. */
 export const chatSchema = z.object({
   model: z.string(),
   messages: z.array(z.object({ role: z.string(), content: z.string() })).min(1),
   max_tokens: z.number().int().positive().default(256),
   priority: z.number().int().default(0),
-  /** The last message is the beginning of the answer, to be continued. */
+  /** Whether the last message is the beginning of the answer, which the engine continues. */
   continue_final_message: z.boolean().default(false),
-  /** Handle of an imported KV cache. */
+  /** Handle of an imported KV cache, as returned by `POST /kv`. */
   kv_handle: z.string().optional(),
 });
 
 export type ChatRequest = z.infer<typeof chatSchema>;
 
-/** An order to the engine, with the fencing number of who gave it. */
+/** An order to the engine, with the sender's fencing token. */
 export const orderSchema = z.object({
   kind: z.enum(['changeRole', 'loadAdapter', 'loadModel']),
   name: z.string(),
@@ -22,8 +22,12 @@
   fencing: z.number().int(),
 });
 
+/** Fault switches of the engine; those left out keep their state. */
 export const engineFaultsBodySchema = z.object({
+  /** Factor on the duration of every step. */
   slowdown: z.number().positive().optional(),
+  /** Whether to stop sending on all open streams without closing them. */
   silenceOpen: z.boolean().optional(),
+  /** True drops all streams and fails new requests until false is set. */
   crashed: z.boolean().optional(),
 });
--- a/packages/stand-ins/src/engine/planSequence.ts
+++ b/packages/stand-ins/src/engine/planSequence.ts
@@ -1,31 +1,33 @@
 import murmurhash from 'murmurhash';
 
-import { answerTokens, conversationHash, countTokens } from './answer.js';
+import { answerLength, conversationHash, countTokens } from './answer.js';
 import type { ChatRequest } from './chatSchema.js';
 import type { SequenceRequest } from './EngineModel.js';
 import type { KvStore } from './KvStore.js';
 
-/** A sequence for the model together with what its text is made from. */
+/** A sequence for the engine model, with the data from which its text is generated. */
 export interface SequencePlan {
   readonly sequence: SequenceRequest;
   readonly model: string;
+  /** Hash of the conversation. */
   readonly conversation: number;
-  /** Tokens of the answer that the caller already holds. */
+  /** Number of tokens of the answer that the caller already has. */
   readonly resumeFrom: number;
 }
 
 const CHARACTERS_PER_TOKEN = 4;
 
-const tokensOf = (text: string): number =>
+const estimateTokens = (text: string): number =>
   Math.ceil(text.length / CHARACTERS_PER_TOKEN);
 
 /**
- * Turns a chat request into a sequence.
+ * Plans the sequence for a chat request, and keeps its KV cache for export.
  *
  * @param id - id of the sequence
- * @param chat - the checked request
- * @param kv - imported caches, which save prefill
- * @returns the plan
+ * @param chat - validated request
+ * @param kv - exportable and imported KV caches; an imported cache of the same
+ *   conversation saves the prefill
+ * @returns the plan of the sequence
  */
 export function planSequence(
   id: string,
@@ -40,13 +42,13 @@
     : chat.messages;
   const conversation = conversationHash(messages);
   const resumeFrom = countTokens(partial);
-  const total = answerTokens(conversation, chat.max_tokens + resumeFrom);
+  const totalTokens = answerLength(conversation, chat.max_tokens + resumeFrom);
   const prefix = messages[0]?.content ?? '';
   const promptTokens = messages.reduce(
-    (sum, { content }) => sum + tokensOf(content),
+    (sum, { content }) => sum + estimateTokens(content),
     resumeFrom,
   );
-  kv.remember(id, { conversation, tokens: promptTokens });
+  kv.save(id, { conversation, tokens: promptTokens });
   return {
     model: chat.model,
     conversation,
@@ -55,8 +57,8 @@
       id,
       promptTokens,
       prefixHash: murmurhash.v3(prefix),
-      prefixTokens: tokensOf(prefix),
-      outputTokens: Math.max(1, total - resumeFrom),
+      prefixTokens: estimateTokens(prefix),
+      outputTokens: Math.max(1, totalTokens - resumeFrom),
       priority: chat.priority,
       imported: kv.matches(chat.kv_handle, conversation),
     },
--- a/packages/stand-ins/src/engine/startEngine.ts
+++ b/packages/stand-ins/src/engine/startEngine.ts
@@ -4,7 +4,7 @@
 import { createRandom } from '@jujubecroft/types';
 
 import type { RunningServer } from '../util/RunningServer.js';
-import { Lagging } from '../util/Lagging.js';
+import { DelayedValue } from '../util/DelayedValue.js';
 import type { ChatRequest } from './chatSchema.js';
 import {
   chatSchema,
@@ -18,7 +18,7 @@
 import type { CacheEvent } from './PrefixCache.js';
 import { streamAnswer } from './streamAnswer.js';
 
-const REPORT_EVERY_MS = 50;
+const SAMPLE_INTERVAL_MS = 50;
 const CONFLICT = 409;
 const UNAVAILABLE = 503;
 const BAD_REQUEST = 400;
@@ -31,8 +31,9 @@
 }
 
 interface PublishedEvent extends CacheEvent {
-  /** Consecutive; a missing number is a gap. */
+  /** Consecutive number; a gap tells the reader that an event was lost. */
   readonly number: number;
+  /** Unix time from which on the event is returned to readers. */
   readonly visibleAtMs: number;
 }
 
@@ -41,13 +42,14 @@
   readonly model: EngineModel;
   readonly driver: EngineDriver;
   readonly kv = new KvStore();
-  readonly load: Lagging<LoadReading>;
+  readonly load: DelayedValue<LoadReading>;
   crashed: boolean;
-  highestFencing = -1;
+  highestFencingToken = -1;
+  /** Accepted orders, oldest first. */
   readonly orders: unknown[] = [];
   #events: PublishedEvent[] = [];
-  #eventNumber = 0;
-  #sequence = 0;
+  #lastEventNumber = 0;
+  #lastSequenceNumber = 0;
   readonly #random: () => number;
 
   constructor(readonly settings: SettingsOf<'engine'>) {
@@ -55,7 +57,7 @@
     this.model.slowdown = settings.faults.slowdown;
     this.driver = new EngineDriver(this.model);
     this.crashed = settings.faults.crashed;
-    this.load = new Lagging<LoadReading>(settings.reportLagMs, {
+    this.load = new DelayedValue<LoadReading>(settings.reportLagMs, {
       running: 0,
       waiting: 0,
     });
@@ -63,20 +65,26 @@
   }
 
   nextId(): string {
-    this.#sequence += 1;
-    return `${this.settings.id}-${this.#sequence}`;
+    this.#lastSequenceNumber += 1;
+    return `${this.settings.id}-${this.#lastSequenceNumber}`;
   }
 
+  /** Records the current load and publishes pending cache events. */
   sample(): void {
     const { running, waiting } = this.model;
     const nowMs = Date.now();
     this.load.record({ running, waiting }, nowMs);
-    this.model.cache.takeEvents().forEach(event => {
+    this.model.cache.drainEvents().forEach(event => {
       this.#publish(event, nowMs);
     });
   }
 
-  /** Cache events that are old enough to be seen, some of them lost. */
+  /**
+   * Published cache events that are older than the configured lag. A configured
+   * share of the events is never published.
+   *
+   * @param after - only events with a higher number are returned
+   */
   cacheEvents(after: number): readonly PublishedEvent[] {
     const nowMs = Date.now();
     return this.#events.filter(
@@ -85,18 +93,18 @@
   }
 
   #publish(event: CacheEvent, nowMs: number): void {
-    this.#eventNumber += 1;
+    this.#lastEventNumber += 1;
     if (this.#random() < this.settings.cacheEventLoss) {
       return;
     }
     const visibleAtMs = nowMs + this.settings.cacheEventLagMs;
-    const published = { ...event, number: this.#eventNumber, visibleAtMs };
+    const published = { ...event, number: this.#lastEventNumber, visibleAtMs };
     this.#events = [...this.#events, published].slice(-MAX_CACHE_EVENTS);
   }
 }
 
-function addChat(app: FastifyInstance, engine: Engine): void {
-  const answer = (chat: ChatRequest, reply: FastifyReply): void => {
+function addChatRoute(app: FastifyInstance, engine: Engine): void {
+  const startAnswer = (chat: ChatRequest, reply: FastifyReply): void => {
     const id = engine.nextId();
     const plan = planSequence(id, chat, engine.kv);
     streamAnswer(reply, engine.driver, plan);
@@ -117,12 +125,12 @@
       void reply.code(NOT_FOUND).send({ error: { message: 'no such model' } });
       return reply;
     }
-    answer(parsed.data, reply);
+    startAnswer(parsed.data, reply);
     return reply;
   });
 }
 
-function addReports(app: FastifyInstance, engine: Engine): void {
+function addReportRoutes(app: FastifyInstance, engine: Engine): void {
   app.get('/load', (_req, reply) => {
     if (engine.crashed) {
       void reply.code(UNAVAILABLE).send({});
@@ -136,13 +144,13 @@
   );
 }
 
-function addCounts(app: FastifyInstance, engine: Engine): void {
+function addCountsRoute(app: FastifyInstance, engine: Engine): void {
   app.get('/control/counts', () => ({
     generatedTokens: engine.model.generatedTokens,
   }));
 }
 
-function addOrders(app: FastifyInstance, engine: Engine): void {
+function addOrderRoutes(app: FastifyInstance, engine: Engine): void {
   app.post('/orders', (req, reply) => {
     const parsed = orderSchema.safeParse(req.body);
     if (!parsed.success) {
@@ -150,14 +158,14 @@
         .code(BAD_REQUEST)
         .send({ error: { message: parsed.error.message } });
     }
-    const stale = parsed.data.fencing < engine.highestFencing;
+    const stale = parsed.data.fencing < engine.highestFencingToken;
     if (engine.settings.checksFencing && stale) {
       return reply
         .code(CONFLICT)
         .send({ error: { message: 'old fencing number' } });
     }
-    engine.highestFencing = Math.max(
-      engine.highestFencing,
+    engine.highestFencingToken = Math.max(
+      engine.highestFencingToken,
       parsed.data.fencing,
     );
     engine.orders.push(parsed.data);
@@ -166,7 +174,7 @@
   app.get('/orders', () => engine.orders);
 }
 
-function addKv(app: FastifyInstance, engine: Engine): void {
+function addKvRoutes(app: FastifyInstance, engine: Engine): void {
   app.get<{ Params: { id: string } }>('/kv/:id', (req, reply) => {
     const blob = engine.kv.export(req.params.id);
     return blob ? reply.send(blob) : reply.code(NOT_FOUND).send({});
@@ -179,7 +187,7 @@
   });
 }
 
-function addFaults(app: FastifyInstance, engine: Engine): void {
+function addFaultsRoute(app: FastifyInstance, engine: Engine): void {
   app.post('/control/faults', (req, reply) => {
     const parsed = engineFaultsBodySchema.safeParse(req.body);
     if (!parsed.success) {
@@ -201,9 +209,10 @@
 }
 
 /**
- * Starts the engine stand-in.
+ * Starts the engine stand-in: an HTTP server that streams deterministic answers
+ * with the timing of `EngineModel`, and publishes load and cache events.
  *
- * @param settings - checked settings; port 0 takes any free port
+ * @param settings - validated settings; port 0 selects any free port
  * @returns the running server
  */
 export async function startEngine(
@@ -211,15 +220,15 @@
 ): Promise<RunningServer> {
   const app = fastify({ forceCloseConnections: true });
   const engine = new Engine(settings);
-  addChat(app, engine);
-  addReports(app, engine);
-  addCounts(app, engine);
-  addOrders(app, engine);
-  addKv(app, engine);
-  addFaults(app, engine);
+  addChatRoute(app, engine);
+  addReportRoutes(app, engine);
+  addCountsRoute(app, engine);
+  addOrderRoutes(app, engine);
+  addKvRoutes(app, engine);
+  addFaultsRoute(app, engine);
   const sampler = setInterval(() => {
     engine.sample();
-  }, REPORT_EVERY_MS);
+  }, SAMPLE_INTERVAL_MS);
   const url = await app.listen(settings.listen);
   return {
     url,
--- a/packages/stand-ins/src/engine/streamAnswer.ts
+++ b/packages/stand-ins/src/engine/streamAnswer.ts
@@ -6,7 +6,7 @@
 
 const OK = 200;
 
-function chunk(
+function formatChunk(
   plan: SequencePlan,
   content: string,
   finishReason: 'stop' | null,
@@ -22,11 +22,13 @@
 }
 
 /**
- * Streams a sequence as server-sent events, one token an event.
+ * Streams a sequence as server-sent events, one token per event. Cancels the
+ * sequence if the client disconnects, and closes the connection without an end
+ * marker if the engine crashes.
  *
- * @param reply - taken over from the framework
+ * @param reply - reply to hijack; the function writes to its socket directly
  * @param driver - engine that generates the sequence
- * @param plan - the sequence and its text
+ * @param plan - the sequence and the data for its text
  */
 export function streamAnswer(
   reply: FastifyReply,
@@ -46,10 +48,10 @@
   driver.submit(plan.sequence, {
     onToken: index => {
       const text = tokenAt(plan.conversation, plan.resumeFrom + index);
-      raw.write(chunk(plan, text, null));
+      raw.write(formatChunk(plan, text, null));
     },
     onFinished: () => {
-      raw.end(`${chunk(plan, '', 'stop')}data: [DONE]\n\n`);
+      raw.end(`${formatChunk(plan, '', 'stop')}data: [DONE]\n\n`);
     },
     onLost: () => {
       raw.destroy();
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,6 +1,6 @@
 export type { ChatMessage } from './engine/answer.js';
 export {
-  answerTokens,
+  answerLength,
   countTokens,
   expectedAnswer,
   tokenAt,
@@ -15,5 +15,5 @@
 export type { RowListener, VersionedRow } from './platform/VersionedRows.js';
 export { VersionedRows } from './platform/VersionedRows.js';
 export { startService } from './service/startService.js';
-export { Lagging } from './util/Lagging.js';
+export { DelayedValue } from './util/DelayedValue.js';
 export type { RunningServer } from './util/RunningServer.js';
--- a/packages/stand-ins/src/platform/FencedCalls.ts
+++ b/packages/stand-ins/src/platform/FencedCalls.ts
@@ -1,24 +1,25 @@
-/** A call that bears a fencing token. */
+/** A call that carries a fencing token. */
 export interface FencedCall {
-  /** What it is about; tokens of different subjects have nothing to do with each other. */
+  /** Resource that the call acts on; tokens are compared only within one subject. */
   readonly subject: string;
+  /** Process that sent the call. */
   readonly holder: string;
   readonly token: number;
   readonly body: Readonly<Record<string, unknown>>;
 }
 
-/** Takes calls that bear no lower token than was seen for their subject. */
+/** Accepts calls, except those whose token is lower than one already seen for the subject. */
 export class FencedCalls {
-  readonly #tokens = new Map<string, number>();
-  /** What was carried out, in order. */
+  readonly #highestTokens = new Map<string, number>();
+  /** Accepted calls, oldest first. */
   readonly accepted: FencedCall[] = [];
 
-  /** @returns false where a higher token was seen, and nothing is done */
+  /** @returns false, without recording the call, if a higher token was seen for the subject */
   take(call: FencedCall): boolean {
-    if (call.token < (this.#tokens.get(call.subject) ?? 0)) {
+    if (call.token < (this.#highestTokens.get(call.subject) ?? 0)) {
       return false;
     }
-    this.#tokens.set(call.subject, call.token);
+    this.#highestTokens.set(call.subject, call.token);
     this.accepted.push(call);
     return true;
   }
--- a/packages/stand-ins/src/platform/Table.ts
+++ b/packages/stand-ins/src/platform/Table.ts
@@ -5,7 +5,7 @@
   TransactResult,
 } from '@jujubecroft/stores';
 
-/** A transactional table in memory. */
+/** Transactional key-value table in memory. */
 export class Table {
   readonly #rows = new Map<string, Row>();
   #version = 0;
@@ -14,6 +14,7 @@
     return this.#rows.get(key) ?? null;
   }
 
+  /** @returns rows with the prefix and a key after `after`, by key, at most `limit` */
   scan({ prefix, after = '', limit }: ScanOptions): readonly Row[] {
     return [...this.#rows.values()]
       .filter(({ key }) => key.startsWith(prefix) && key > after)
@@ -21,7 +22,12 @@
       .slice(0, limit);
   }
 
-  /** Applies all writes or none. */
+  /**
+   * Applies all writes or none. A write with `ifVersion` requires that version of
+   * the row; 0 requires that the row does not exist.
+   *
+   * @returns success, or the first row whose version did not match
+   */
   transact(writes: readonly TableWrite[]): TransactResult {
     const violated = writes.find(
       ({ key, ifVersion }) =>
--- a/packages/stand-ins/src/platform/VersionedRows.ts
+++ b/packages/stand-ins/src/platform/VersionedRows.ts
@@ -1,49 +1,56 @@
-/** A row of a table as it was written once. */
+/** One revision of a table row. */
 export interface VersionedRow {
   readonly table: string;
   readonly key: string;
-  /** Base64; null for a removed row. */
+  /** Base64 of the JSON content; null if this revision removed the row. */
   readonly value: string | null;
   readonly version: number;
 }
 
-interface Waiting {
+interface Waiter {
   readonly table: string;
   readonly answer: () => void;
 }
 
-/** Told of each changed row; the content is null where it was removed. */
+/** Called for each changed row with its decoded content; null if the row was removed. */
 export type RowListener = (
   table: string,
   key: string,
   content: unknown,
 ) => void;
 
-/** Rows in memory with their history, under one counter of versions. */
+/** Table rows in memory with their history; all tables share one version counter. */
 export class VersionedRows {
   readonly #rows: VersionedRow[] = [];
   readonly #listeners: RowListener[] = [];
-  #waiting: Waiting[] = [];
+  #waiters: Waiter[] = [];
   #version = 0;
   #keptFrom = 0;
-  #lapses: NodeJS.Timeout | null = null;
+  #expiryTimer: NodeJS.Timeout | null = null;
 
+  /** Version of the latest change of any table. */
   get version(): number {
     return this.#version;
   }
 
-  /** Version from which on the history is kept. */
+  /** Oldest version from which a reader can resume; earlier history is unavailable. */
   get keptFrom(): number {
     return this.#keptFrom;
   }
 
-  /** Writes a row; a value of null removes it. */
+  /**
+   * Writes a row, then calls the callbacks waiting for the table and all listeners.
+   *
+   * @param table - table of the row
+   * @param key - key of the row
+   * @param value - Base64 of the JSON content; null removes the row
+   */
   add(table: string, key: string, value: string | null): void {
     this.#version += 1;
     this.#rows.push({ table, key, value, version: this.#version });
-    const due = this.#waiting.filter(waiting => waiting.table === table);
-    this.#waiting = this.#waiting.filter(waiting => waiting.table !== table);
-    due.forEach(({ answer }) => {
+    const dueWaiters = this.#waiters.filter(waiter => waiter.table === table);
+    this.#waiters = this.#waiters.filter(waiter => waiter.table !== table);
+    dueWaiters.forEach(({ answer }) => {
       answer();
     });
     const content: unknown =
@@ -55,11 +62,12 @@
     });
   }
 
+  /** Adds a listener for the changes of all tables. */
   onChange(listener: RowListener): void {
     this.#listeners.push(listener);
   }
 
-  /** Version of a row; 0 where it doesn't exist. */
+  /** Version of a row; 0 if it doesn't exist. */
   versionOf(table: string, key: string): number {
     const row = this.#rows.findLast(
       other => other.table === table && other.key === key,
@@ -67,7 +75,7 @@
     return row?.value ? row.version : 0;
   }
 
-  /** @returns the rows of a table that stand, by key */
+  /** @returns the existing rows of a table in their latest version, sorted by key */
   standing(table: string): readonly VersionedRow[] {
     const newest = new Map(
       this.#rows.filter(row => row.table === table).map(row => [row.key, row]),
@@ -77,32 +85,43 @@
       .sort((a, b) => (a.key < b.key ? -1 : 1));
   }
 
-  /** @returns every change of a table after a version, oldest first */
+  /** @returns all changes of a table after a version, oldest first */
   changesAfter(table: string, version: number): readonly VersionedRow[] {
     return this.#rows.filter(
       row => row.table === table && row.version > version,
     );
   }
 
-  /** Does something once a table changes, or when the time is over. */
+  /**
+   * Calls back once, at the next change of a table or after a time limit.
+   *
+   * @param table - table to watch
+   * @param waitMs - time limit
+   * @param answer - callback
+   */
   whenChanged(table: string, waitMs: number, answer: () => void): void {
-    const waiting: Waiting = { table, answer };
-    this.#waiting.push(waiting);
+    const waiter: Waiter = { table, answer };
+    this.#waiters.push(waiter);
     setTimeout(() => {
-      if (this.#waiting.includes(waiting)) {
-        this.#waiting = this.#waiting.filter(other => other !== waiting);
+      if (this.#waiters.includes(waiter)) {
+        this.#waiters = this.#waiters.filter(other => other !== waiter);
         answer();
       }
     }, waitMs).unref();
   }
 
-  /** Drops the history of changes. */
+  /** Starts a new version and declares the history before it unavailable. */
   compact(): void {
     this.#version += 1;
     this.#keptFrom = this.#version;
   }
 
-  /** Removes rows of a table that nobody wrote for a while. */
+  /**
+   * From now on, removes rows of a table that were not written for some time.
+   *
+   * @param table - table whose rows expire
+   * @param afterMs - age since the last write at which a row expires
+   */
   dropSilent(table: string, afterMs: number): void {
     const writtenMs = new Map<string, number>();
     this.onChange((changed, key, content) => {
@@ -110,7 +129,7 @@
         writtenMs.set(key, performance.now());
       }
     });
-    const drop = (): void => {
+    const expire = (): void => {
       const oldestMs = performance.now() - afterMs;
       [...writtenMs]
         .filter(([, atMs]) => atMs < oldestMs)
@@ -119,12 +138,13 @@
           this.add(table, key, null);
         });
     };
-    this.#lapses = setInterval(drop, afterMs / 4);
+    this.#expiryTimer = setInterval(expire, afterMs / 4);
   }
 
+  /** Stops the expiry of rows. */
   stop(): void {
-    if (this.#lapses) {
-      clearInterval(this.#lapses);
+    if (this.#expiryTimer) {
+      clearInterval(this.#expiryTimer);
     }
   }
 }
--- a/packages/stand-ins/src/platform/WeightGate.ts
+++ b/packages/stand-ins/src/platform/WeightLoadLimiter.ts
@@ -2,12 +2,18 @@
 
 const MS_PER_MINUTE = 60_000;
 
-/** Grants weight loads at a bounded rate. */
-export class WeightGate {
+/** Limits the rate at which engines may load model weights, by a minimum interval. */
+export class WeightLoadLimiter {
   #nextAtMs = 0;
 
   constructor(private readonly loadsPerMinute: number) {}
 
+  /**
+   * Requests permission for one load.
+   *
+   * @param nowMs - current time
+   * @returns a grant, or the time to wait before the next attempt
+   */
   request(nowMs: number): WeightGrant {
     if (nowMs < this.#nextAtMs) {
       return { granted: false, retryAfterMs: this.#nextAtMs - nowMs };
--- a/packages/stand-ins/src/platform/startPlatform.ts
+++ b/packages/stand-ins/src/platform/startPlatform.ts
@@ -5,10 +5,10 @@
 import { createRandom } from '@jujubecroft/types';
 import type { ListedInstance } from '@jujubecroft/stores';
 
-import { Lagging } from '../util/Lagging.js';
+import { DelayedValue } from '../util/DelayedValue.js';
 import type { RunningServer } from '../util/RunningServer.js';
 import { Table } from './Table.js';
-import { WeightGate } from './WeightGate.js';
+import { WeightLoadLimiter } from './WeightLoadLimiter.js';
 
 const UNAVAILABLE = 503;
 const NOT_FOUND = 404;
@@ -28,12 +28,15 @@
     }),
   ),
 });
+/** Fault switches of the platform; those left out keep their state. */
 const faultsSchema = z.object({
+  /** Whether all endpoints except `/control/` fail. */
   down: z.boolean().optional(),
-  /** Only the table is down; list and objects answer. */
+  /** Whether the table fails while the other endpoints work. */
   failTable: z.boolean().optional(),
+  /** Delay of every request except to `/control/`. */
   slowMs: z.number().nonnegative().optional(),
-  /** Share of transactions that take effect without a reply. */
+  /** Share of transactions that are committed but not answered. */
   loseReplies: z.number().min(0).max(1).optional(),
 });
 const instancesSchema = z.array(
@@ -50,19 +53,21 @@
 class PlatformState {
   readonly table = new Table();
   readonly objects = new Map<string, string>();
-  readonly weights: WeightGate;
-  readonly instances: Lagging<readonly ListedInstance[]>;
+  readonly weights: WeightLoadLimiter;
+  readonly instances: DelayedValue<readonly ListedInstance[]>;
   down = false;
   failTable = false;
   slowMs = 0;
   loseReplies = 0;
+  /** Number of reads of the table. */
   reads = 0;
+  /** Number of transactions on the table. */
   writes = 0;
   readonly random: () => number;
 
   constructor(settings: SettingsOf<'platform'>) {
-    this.weights = new WeightGate(settings.weightLoadsPerMinute);
-    this.instances = new Lagging<readonly ListedInstance[]>(
+    this.weights = new WeightLoadLimiter(settings.weightLoadsPerMinute);
+    this.instances = new DelayedValue<readonly ListedInstance[]>(
       settings.instanceListLagMs,
       settings.instances as unknown as readonly ListedInstance[],
     );
@@ -70,13 +75,13 @@
   }
 }
 
-/** Keeps a connection open without a reply, as a lost reply looks to the client. */
-function loseReply(reply: FastifyReply): FastifyReply {
+/** Leaves the connection open without a reply, which the client sees as a lost reply. */
+function leaveUnanswered(reply: FastifyReply): FastifyReply {
   reply.hijack();
   return reply;
 }
 
-function addTable(app: FastifyInstance, state: PlatformState): void {
+function addTableRoutes(app: FastifyInstance, state: PlatformState): void {
   app.post('/table/get', (req, reply) => {
     state.reads += 1;
     const row = state.table.get(keySchema.parse(req.body).key);
@@ -104,12 +109,12 @@
       })),
     );
     return state.random() < state.loseReplies
-      ? loseReply(reply)
+      ? leaveUnanswered(reply)
       : reply.send(result);
   });
 }
 
-function addObjects(app: FastifyInstance, state: PlatformState): void {
+function addObjectRoutes(app: FastifyInstance, state: PlatformState): void {
   app.get<{ Params: { name: string } }>('/objects/:name', (req, reply) => {
     const body = state.objects.get(req.params.name);
     return body === undefined ? reply.code(NOT_FOUND).send() : reply.send(body);
@@ -120,12 +125,15 @@
   });
 }
 
-function addLists(app: FastifyInstance, state: PlatformState): void {
+function addInstanceAndWeightRoutes(
+  app: FastifyInstance,
+  state: PlatformState,
+): void {
   app.get('/instances', () => state.instances.read(Date.now()).value);
   app.post('/weights', () => state.weights.request(Date.now()));
 }
 
-function addControl(app: FastifyInstance, state: PlatformState): void {
+function addControlRoutes(app: FastifyInstance, state: PlatformState): void {
   app.put('/control/instances', req => {
     const listed = instancesSchema.parse(req.body) as ListedInstance[];
     state.instances.record(listed, Date.now());
@@ -145,7 +153,7 @@
   });
 }
 
-function addFaults(app: FastifyInstance, state: PlatformState): void {
+function addFaultHook(app: FastifyInstance, state: PlatformState): void {
   app.addHook('preHandler', async (req: FastifyRequest, reply) => {
     if (req.url.startsWith('/control/')) {
       return;
@@ -161,9 +169,10 @@
 }
 
 /**
- * Starts the platform stand-in: table, objects, instance list and weights.
+ * Starts the platform stand-in: an HTTP server with the table, the object store,
+ * the instance list and the rate limit of weight loads.
  *
- * @param settings - checked settings; port 0 takes any free port
+ * @param settings - validated settings; port 0 selects any free port
  * @returns the running server
  */
 export async function startPlatform(
@@ -171,11 +180,11 @@
 ): Promise<RunningServer> {
   const app = fastify({ forceCloseConnections: true, bodyLimit: 2 ** 24 });
   const state = new PlatformState(settings);
-  addFaults(app, state);
-  addTable(app, state);
-  addObjects(app, state);
-  addLists(app, state);
-  addControl(app, state);
+  addFaultHook(app, state);
+  addTableRoutes(app, state);
+  addObjectRoutes(app, state);
+  addInstanceAndWeightRoutes(app, state);
+  addControlRoutes(app, state);
   const url = await app.listen(settings.listen);
   return { url, stop: () => app.close() };
 }
--- a/packages/stand-ins/src/service/startService.ts
+++ b/packages/stand-ins/src/service/startService.ts
@@ -3,50 +3,63 @@
 import type { SettingsOf } from '@jujubecroft/settings';
 import { createRandom } from '@jujubecroft/types';
 
-import { Lagging } from '../util/Lagging.js';
+import { DelayedValue } from '../util/DelayedValue.js';
 import type { RunningServer } from '../util/RunningServer.js';
 
-const REPORT_EVERY_MS = 50;
+const SAMPLE_INTERVAL_MS = 50;
 const BAD_REQUEST = 400;
 const UNAVAILABLE = 503;
 
+/** Fault switches of the service; those left out keep their state. */
 const faultsSchema = z.object({
+  /** Whether all calls fail with status 503. */
   crashed: z.boolean().optional(),
-  /** Take the call, run it, and cut the connection instead of replying. */
+  /** Whether to run each call and then close its connection instead of replying. */
   cutReplies: z.boolean().optional(),
 });
 
-/** A plain service that counts how often each call ran. */
-class PlainService {
+/** State of a service with bounded concurrency that counts how often each call ran. */
+class ServiceState {
   crashed = false;
   cutReplies = false;
   running = 0;
+  /** Callbacks that start the waiting calls, first come first served. */
   readonly waiting: (() => void)[] = [];
-  /** How often each idempotency key ran. */
+  /** Number of runs for each idempotency key. */
   readonly runs = new Map<string, number>();
-  readonly load: Lagging<{ running: number; waiting: number }>;
+  readonly load: DelayedValue<{ running: number; waiting: number }>;
   readonly #random: () => number;
 
   constructor(readonly settings: SettingsOf<'service'>) {
-    this.load = new Lagging(settings.reportLagMs, { running: 0, waiting: 0 });
+    this.load = new DelayedValue(settings.reportLagMs, {
+      running: 0,
+      waiting: 0,
+    });
     this.#random = createRandom(settings.seed);
   }
 
+  /**
+   * Runs one call: waits for a free slot, then for an exponentially distributed
+   * service time.
+   *
+   * @param key - idempotency key under which the run is counted
+   */
   async work(key: string): Promise<void> {
-    await this.#enter();
+    await this.#acquireSlot();
     this.runs.set(key, (this.runs.get(key) ?? 0) + 1);
     const durationMs =
       -Math.log(1 - this.#random()) * this.settings.meanServiceMs;
     await new Promise(resolve => setTimeout(resolve, durationMs));
-    this.#leave();
+    this.#releaseSlot();
   }
 
+  /** Records the current load. */
   sample(): void {
     const { running, waiting } = this;
     this.load.record({ running, waiting: waiting.length }, Date.now());
   }
 
-  async #enter(): Promise<void> {
+  async #acquireSlot(): Promise<void> {
     if (this.running >= this.settings.concurrency) {
       await new Promise<void>(resolve => this.waiting.push(resolve));
       return;
@@ -54,7 +67,7 @@
     this.running += 1;
   }
 
-  #leave(): void {
+  #releaseSlot(): void {
     const next = this.waiting.shift();
     if (next) {
       next();
@@ -65,16 +78,17 @@
 }
 
 /**
- * Starts the plain-service stand-in: it echoes each call after a service time.
+ * Starts the service stand-in: an HTTP server that echoes each call after a random
+ * service time. The header `x-want-status` sets the status of the reply.
  *
- * @param settings - checked settings; port 0 takes any free port
+ * @param settings - validated settings; port 0 selects any free port
  * @returns the running server
  */
 export async function startService(
   settings: SettingsOf<'service'>,
 ): Promise<RunningServer> {
   const app = fastify({ forceCloseConnections: true });
-  const service = new PlainService(settings);
+  const service = new ServiceState(settings);
   app.addContentTypeParser('*', { parseAs: 'string' }, (_req, body, done) => {
     done(null, body);
   });
@@ -113,7 +127,7 @@
   });
   const sampler = setInterval(() => {
     service.sample();
-  }, REPORT_EVERY_MS);
+  }, SAMPLE_INTERVAL_MS);
   const url = await app.listen(settings.listen);
   return {
     url,
--- a/packages/stand-ins/src/util/RunningServer.ts
+++ b/packages/stand-ins/src/util/RunningServer.ts
@@ -1,6 +1,6 @@
-/** A server that was started and can be stopped. */
+/** Handle of a started server. */
 export interface RunningServer {
-  /** Base URL with the port that was really taken. */
+  /** Base URL with the actual port. */
   readonly url: string;
   readonly stop: () => Promise<void>;
 }
--- a/packages/stand-ins/src/util/listenOn.ts
+++ b/packages/stand-ins/src/util/listenOn.ts
@@ -1,13 +1,13 @@
 import type { Server } from 'node:net';
 
 /**
- * Lets a server listen, on any free port where none is named.
+ * Makes a server listen and waits until it does.
  *
- * @param server - not listening yet
+ * @param server - server that is not listening yet
  * @param host - address to listen on
- * @param port - 0 for any
- * @returns the port
- * @throws Error when the port is taken
+ * @param port - port to listen on; 0 selects any free port
+ * @returns the actual port
+ * @throws Error if listening fails, for example because the port is in use
  */
 export async function listenOn(
   server: Server,
--- a/packages/stand-ins/src/util/ownCommand.ts
+++ b/packages/stand-ins/src/util/ownCommand.ts
@@ -1,13 +1,13 @@
-/** Programs that the runtime is given as a file; a single binary has none. */
+/** Matches a script file; a single-executable build has none in its arguments. */
 const SCRIPT = /\.[cm]?[jt]s$/;
 
 /**
- * Arguments that start the program once more as it runs now.
+ * Arguments for `process.execPath` that start this program again, to be followed
+ * by the program's own arguments.
  *
- * @param argv - of this process
- * @param execArgv - arguments of its runtime
- * @returns what stands before the command: the runtime's arguments and the script;
- *   nothing where the program is a binary of its own
+ * @param argv - `argv` of this process
+ * @param execArgv - Node.js options of this process
+ * @returns the Node.js options and the script; empty for a single-executable build
  */
 export function ownCommand(
   argv: readonly string[] = process.argv,
--- a/packages/stand-ins/tests/EngineModel.test.ts
+++ b/packages/stand-ins/tests/EngineModel.test.ts
@@ -20,7 +20,7 @@
   ...overrides,
 });
 
-/** Runs steps until nothing is left, and lists what finished in which step. */
+/** Runs the engine until it is idle; returns the ids that finished in each step. */
 function runAll(engine: EngineModel): string[][] {
   const steps: string[][] = [];
   while (!engine.idle) {
@@ -30,7 +30,7 @@
 }
 
 describe('EngineModel', ({ it }) => {
-  it('generates every sequence to its length', t => {
+  it('generates each submitted sequence to its full length', t => {
     const engine = engineWith({});
     ['a', 'b', 'c'].forEach(id => {
       engine.submit(sequence(id));
@@ -39,7 +39,7 @@
     t.is(engine.generatedTokens, 9);
   });
 
-  it('starts waiting sequences in order of priority', t => {
+  it('admits waiting sequences in order of priority', t => {
     const engine = engineWith({ maxBatch: 1 });
     engine.submit(sequence('first'));
     engine.submit(sequence('low', { priority: 4 }));
@@ -47,7 +47,7 @@
     t.deepEqual(runAll(engine).flat(), ['first', 'high', 'low']);
   });
 
-  it('takes longer steps for larger batches and when it straggles', t => {
+  it('takes longer per step for larger batches and in proportion to slowdown', t => {
     const alone = engineWith({});
     alone.submit(sequence('a'));
     alone.step();
@@ -62,7 +62,7 @@
     t.is(alone.step().durationMs, base * 4);
   });
 
-  it('saves the prefill of a cached prefix, in bounded memory', t => {
+  it('skips the prefill of a cached prefix until the prefix is evicted', t => {
     const engine = engineWith({ prefixCacheTokens: 100, stepTokenBudget: 50 });
     const steps = (prefixHash: number): number => {
       engine.submit(
@@ -81,14 +81,14 @@
     t.is(steps(1), cold, 'evicted by the second prefix');
   });
 
-  it('gives memory back by preempting the lowest priority', t => {
+  it('preempts the sequence of lowest priority when KV memory is full', t => {
     const engine = engineWith({ kvTokens: 30 });
     engine.submit(sequence('high', { outputTokens: 12 }));
     engine.submit(sequence('low', { priority: 4, outputTokens: 12 }));
     t.deepEqual(runAll(engine).flat(), ['high', 'low']);
   });
 
-  it('spends nothing on a cancelled sequence', t => {
+  it('drops cancelled sequences, whether running or waiting', t => {
     const engine = engineWith({ maxBatch: 1 });
     engine.submit(sequence('running'));
     engine.submit(sequence('waiting'));
--- a/packages/stand-ins/tests/util/ownCommand.test.ts
+++ b/packages/stand-ins/tests/util/ownCommand.test.ts
@@ -3,7 +3,7 @@
 import { ownCommand } from '../../src/util/ownCommand.js';
 
 describe('ownCommand', ({ it }) => {
-  it('names runtime arguments and script of a program that has one', t => {
+  it('returns the Node.js options and the script of a program run from a script', t => {
     t.deepEqual(ownCommand(['node', '/a/main.ts', 'x'], ['--import=tsx']), [
       '--import=tsx',
       '/a/main.ts',
@@ -13,9 +13,10 @@
     ]);
   });
 
-  // Somebody runs a soak from the single binary. Its own path stands where a
-  // script would; handed on, every child would take it for a command and end.
-  it('names nothing for a binary', t => {
+  // In a single-executable build, argv[1] is the path of the binary instead of a
+  // script. If it were passed on, a child process would take it for a command
+  // name and exit.
+  it('returns no arguments for a single-executable build', t => {
     const binary = '/opt/jujubecroft';
     t.deepEqual(ownCommand([binary, binary, 'soak'], []), []);
   });
