--- a/packages/stand-ins/src/engine/EngineDriver.ts
+++ b/packages/stand-ins/src/engine/EngineDriver.ts
@@ -42,7 +42,10 @@
     this.model.cancel(id);
   }
 
-  /** Drops every sequence and the prefix cache, and calls `onLost` for each sequence. */
+  /**
+   * Drops every sequence and the prefix cache, and calls `onLost` for each
+   * sequence.
+   */
   crash(): void {
     this.model.reset();
     const lost = [...this.#active.values()];
--- a/packages/stand-ins/src/engine/EngineModel.ts
+++ b/packages/stand-ins/src/engine/EngineModel.ts
@@ -7,14 +7,19 @@
 export interface SequenceRequest {
   readonly id: string;
   readonly promptTokens: number;
-  /** Identifies the prefix; sequences with the same prefix have the same hash. */
+  /**
+   * Identifies the prefix; sequences with the same prefix have the same hash.
+   */
   readonly prefixHash: number;
   /** Length of the prompt's leading part that other sequences may share. */
   readonly prefixTokens: number;
   readonly outputTokens: number;
   /** Scheduling priority; lower values are scheduled first. */
   readonly priority: number;
-  /** Whether the KV cache of the prompt was imported, so that no prefill is needed. */
+  /**
+   * Whether the KV cache of the prompt was imported, so that no prefill is
+   * needed.
+   */
   readonly imported?: boolean;
 }
 
@@ -46,9 +51,13 @@
  * the caller runs a step and then waits for the duration that it returns.
  */
 export class EngineModel {
-  /** Factor on the duration of every step; simulates a straggler when above 1. */
+  /**
+   * Factor on the duration of every step; simulates a straggler when above 1.
+   */
   slowdown = 1;
-  /** Total number of tokens generated, including those of cancelled sequences. */
+  /**
+   * Total number of tokens generated, including those of cancelled sequences.
+   */
   generatedTokens = 0;
   readonly cache: PrefixCache;
   readonly #sequences = new Map<string, Sequence>();
@@ -93,7 +102,9 @@
     this.#enqueue(sequence);
   }
 
-  /** Drops a sequence; from the next step on it takes no tokens and no memory. */
+  /**
+   * Drops a sequence; from the next step on it takes no tokens and no memory.
+   */
   cancel(id: string): void {
     const sequence = this.#sequences.get(id);
     if (!sequence) {
@@ -123,8 +134,8 @@
 
   /**
    * Runs one step of the batch: admits waiting sequences, preempts if KV memory
-   * overflows, decodes one token for each prefilled sequence, and spends the rest
-   * of the token budget on prefill.
+   * overflows, decodes one token for each prefilled sequence, and spends the
+   * rest of the token budget on prefill.
    */
   step(): StepResult {
     this.#admit();
@@ -155,7 +166,9 @@
     this.#waitingCount += 1;
   }
 
-  /** Moves waiting sequences into the batch while its size and KV memory allow. */
+  /**
+   * Moves waiting sequences into the batch while its size and KV memory allow.
+   */
   #admit(): void {
     const { maxBatch, kvTokens } = this.settings;
     let usedTokens = this.#kvUsed();
--- a/packages/stand-ins/src/engine/KvStore.ts
+++ b/packages/stand-ins/src/engine/KvStore.ts
@@ -17,7 +17,10 @@
   }
 }
 
-/** Holds up to 256 exportable and 256 imported KV caches; the oldest is evicted first. */
+/**
+ * Holds up to 256 exportable and 256 imported KV caches; the oldest is evicted
+ * first.
+ */
 export class KvStore {
   readonly #exportable = new Map<string, KvBlob>();
   readonly #imported = new Map<string, KvBlob>();
@@ -38,7 +41,8 @@
    * Imports a KV cache exported by another engine.
    *
    * @param body - unvalidated JSON body
-   * @returns handle for a chat request's `kv_handle`; undefined if the body is not a KV cache
+   * @returns handle for a chat request's `kv_handle`; undefined if the body is
+   *   not a KV cache
    */
   import(body: unknown): string | undefined {
     const parsed = kvBlobSchema.safeParse(body);
--- a/packages/stand-ins/src/engine/PrefixCache.ts
+++ b/packages/stand-ins/src/engine/PrefixCache.ts
@@ -33,7 +33,9 @@
     return 0;
   }
 
-  /** @returns the stored and evicted prefixes since the last call, oldest first */
+  /**
+   * @returns the stored and evicted prefixes since the last call, oldest first
+   */
   drainEvents(): readonly CacheEvent[] {
     const events = this.#events;
     this.#events = [];
--- a/packages/stand-ins/src/engine/answer.ts
+++ b/packages/stand-ins/src/engine/answer.ts
@@ -11,7 +11,10 @@
 const VOCABULARY_SIZE = 46_656;
 const RADIX = 36;
 
-/** Hash that identifies a conversation, from the roles and contents of its messages. */
+/**
+ * Hash that identifies a conversation, from the roles and contents of its
+ * messages.
+ */
 export const conversationHash = (messages: readonly ChatMessage[]): number =>
   murmurhash.v3(JSON.stringify(messages));
 
--- a/packages/stand-ins/src/engine/chatSchema.ts
+++ b/packages/stand-ins/src/engine/chatSchema.ts
@@ -1,12 +1,18 @@
 import { z } from 'zod';
 
-/** Fields of a chat-completions request that the engine supports; others are ignored. */
+/**
+ * Fields of a chat-completions request that the engine supports; others are
+ * ignored.
+ */
 export const chatSchema = z.object({
   model: z.string(),
   messages: z.array(z.object({ role: z.string(), content: z.string() })).min(1),
   max_tokens: z.number().int().positive().default(256),
   priority: z.number().int().default(0),
-  /** Whether the last message is the beginning of the answer, which the engine continues. */
+  /**
+   * Whether the last message is the beginning of the answer, which the engine
+   * continues.
+   */
   continue_final_message: z.boolean().default(false),
   /** Handle of an imported KV cache, as returned by `POST /kv`. */
   kv_handle: z.string().optional(),
@@ -28,6 +34,8 @@
   slowdown: z.number().positive().optional(),
   /** Whether to stop sending on all open streams without closing them. */
   silenceOpen: z.boolean().optional(),
-  /** True drops all streams and fails new requests until false is set. */
+  /**
+   * True cuts all streams and fails chat and load requests until set to false.
+   */
   crashed: z.boolean().optional(),
 });
--- a/packages/stand-ins/src/engine/planSequence.ts
+++ b/packages/stand-ins/src/engine/planSequence.ts
@@ -5,7 +5,10 @@
 import type { SequenceRequest } from './EngineModel.js';
 import type { KvStore } from './KvStore.js';
 
-/** A sequence for the engine model, with the data from which its text is generated. */
+/**
+ * A sequence for the engine model, with the data from which its text is
+ * generated.
+ */
 export interface SequencePlan {
   readonly sequence: SequenceRequest;
   readonly model: string;
--- a/packages/stand-ins/src/platform/Table.ts
+++ b/packages/stand-ins/src/platform/Table.ts
@@ -14,7 +14,10 @@
     return this.#rows.get(key) ?? null;
   }
 
-  /** @returns rows with the prefix and a key after `after`, by key, at most `limit` */
+  /**
+   * @returns rows with the prefix and a key after `after`, by key, at most
+   *   `limit`
+   */
   scan({ prefix, after = '', limit }: ScanOptions): readonly Row[] {
     return [...this.#rows.values()]
       .filter(({ key }) => key.startsWith(prefix) && key > after)
@@ -23,8 +26,8 @@
   }
 
   /**
-   * Applies all writes or none. A write with `ifVersion` requires that version of
-   * the row; 0 requires that the row does not exist.
+   * Applies all writes or none. A write with `ifVersion` requires that version
+   * of the row; 0 requires that the row does not exist.
    *
    * @returns success, or the first row whose version did not match
    */
--- a/packages/stand-ins/src/platform/VersionedRows.ts
+++ b/packages/stand-ins/src/platform/VersionedRows.ts
@@ -12,14 +12,20 @@
   readonly answer: () => void;
 }
 
-/** Called for each changed row with its decoded content; null if the row was removed. */
+/**
+ * Called for each changed row with its decoded content; null if the row was
+ * removed.
+ */
 export type RowListener = (
   table: string,
   key: string,
   content: unknown,
 ) => void;
 
-/** Table rows in memory with their history; all tables share one version counter. */
+/**
+ * Table rows in memory with their history; all tables share one version
+ * counter.
+ */
 export class VersionedRows {
   readonly #rows: VersionedRow[] = [];
   readonly #listeners: RowListener[] = [];
@@ -33,13 +39,17 @@
     return this.#version;
   }
 
-  /** Oldest version from which a reader can resume; earlier history is unavailable. */
+  /**
+   * Oldest version from which a reader can resume; earlier history is
+   * unavailable.
+   */
   get keptFrom(): number {
     return this.#keptFrom;
   }
 
   /**
-   * Writes a row, then calls the callbacks waiting for the table and all listeners.
+   * Writes a row, then calls the callbacks waiting for the table and all
+   * listeners.
    *
    * @param table - table of the row
    * @param key - key of the row
@@ -75,7 +85,10 @@
     return row?.value ? row.version : 0;
   }
 
-  /** @returns the existing rows of a table in their latest version, sorted by key */
+  /**
+   * @returns the existing rows of a table in their latest version, sorted by
+   *   key
+   */
   standing(table: string): readonly VersionedRow[] {
     const newest = new Map(
       this.#rows.filter(row => row.table === table).map(row => [row.key, row]),
--- a/packages/stand-ins/src/platform/WeightLoadLimiter.ts
+++ b/packages/stand-ins/src/platform/WeightLoadLimiter.ts
@@ -2,7 +2,7 @@
 
 const MS_PER_MINUTE = 60_000;
 
-/** Limits the rate at which engines may load model weights, by a minimum interval. */
+/** Limits the rate of model weight loads by a minimum interval between them. */
 export class WeightLoadLimiter {
   #nextAtMs = 0;
 
--- a/packages/stand-ins/src/platform/startPlatform.ts
+++ b/packages/stand-ins/src/platform/startPlatform.ts
@@ -75,7 +75,10 @@
   }
 }
 
-/** Leaves the connection open without a reply, which the client sees as a lost reply. */
+/**
+ * Leaves the connection open without a reply, which the client sees as a lost
+ * reply.
+ */
 function leaveUnanswered(reply: FastifyReply): FastifyReply {
   reply.hijack();
   return reply;
@@ -169,8 +172,8 @@
 }
 
 /**
- * Starts the platform stand-in: an HTTP server with the table, the object store,
- * the instance list and the rate limit of weight loads.
+ * Starts the platform stand-in: an HTTP server with the table, the object
+ * store, the instance list and the rate limit of weight loads.
  *
  * @param settings - validated settings; port 0 selects any free port
  * @returns the running server
--- a/packages/stand-ins/src/service/startService.ts
+++ b/packages/stand-ins/src/service/startService.ts
@@ -14,11 +14,16 @@
 const faultsSchema = z.object({
   /** Whether all calls fail with status 503. */
   crashed: z.boolean().optional(),
-  /** Whether to run each call and then close its connection instead of replying. */
+  /**
+   * Whether to run each call and then close its connection instead of replying.
+   */
   cutReplies: z.boolean().optional(),
 });
 
-/** State of a service with bounded concurrency that counts how often each call ran. */
+/**
+ * State of a service with bounded concurrency that counts how often each call
+ * ran.
+ */
 class ServiceState {
   crashed = false;
   cutReplies = false;
@@ -78,8 +83,8 @@
 }
 
 /**
- * Starts the service stand-in: an HTTP server that echoes each call after a random
- * service time. The header `x-want-status` sets the status of the reply.
+ * Starts the service stand-in: an HTTP server that echoes each call after a
+ * random service time. The header `x-want-status` sets the status of the reply.
  *
  * @param settings - validated settings; port 0 selects any free port
  * @returns the running server
--- a/packages/stand-ins/src/util/DelayedValue.ts
+++ b/packages/stand-ins/src/util/DelayedValue.ts
@@ -22,8 +22,8 @@
 
   /**
    * @param nowMs - current time
-   * @returns the latest reading that is at least `lagMs` old, with the time at which
-   *   it was recorded; the initial value has the time -Infinity
+   * @returns the latest reading that is at least `lagMs` old, with the time at
+   *   which it was recorded; the initial value has the time -Infinity
    */
   read(nowMs: number): Reading<T> {
     this.#dropOutdated(nowMs);
--- a/packages/stand-ins/tests/EngineModel.test.ts
+++ b/packages/stand-ins/tests/EngineModel.test.ts
@@ -20,7 +20,9 @@
   ...overrides,
 });
 
-/** Runs the engine until it is idle; returns the ids that finished in each step. */
+/**
+ * Runs the engine until it is idle; returns the ids that finished in each step.
+ */
 function runAll(engine: EngineModel): string[][] {
   const steps: string[][] = [];
   while (!engine.idle) {
