--- a/packages/bench/src/experiments/Experiment.ts
+++ b/packages/bench/src/experiments/Experiment.ts
@@ -1,14 +1,19 @@
 import type { Scenario } from '../simulation/Scenario.js';
 
-/** An experiment in virtual time, as data plus a factory. */
+/** An experiment that is simulated in virtual time. */
 export interface Experiment {
   readonly meta: {
-    /** Kebab-case, equal to the file name. */
+    /** Name in kebab case, the same as the file name. */
     readonly name: string;
     readonly description: string;
-    /** Ablations that say something here, besides the baselines. */
+    /**
+     * Ablations that are relevant to this experiment, run in addition to the
+     * baselines.
+     */
     readonly ablations: readonly string[];
   };
-  /** Changes a deployment in ordinary load into the experiment. */
+  /**
+   * Derives the scenario of the experiment from a deployment under normal load.
+   */
   readonly create: (deployment: Scenario) => Scenario;
 }
--- a/packages/bench/src/experiments/arms.ts
+++ b/packages/bench/src/experiments/arms.ts
@@ -13,22 +13,26 @@
 
 import type { Arm } from '../simulation/Arm.js';
 
-export const OWN_ARM = 'jujubecroft';
+/** Name of the arm that runs the router's default policies and options. */
+export const FULL_POLICY_ARM = 'jujubecroft';
 
-const PLAIN_OPTIONS: RouterOptions = {
+const BASELINE_OPTIONS: RouterOptions = {
   ...DEFAULT_ROUTER_OPTIONS,
   detectSilence: false,
   migrateFromStragglers: false,
 };
 
-const own: Arm = {
-  name: OWN_ARM,
+const fullPolicy: Arm = {
+  name: FULL_POLICY_ARM,
   policies: defaultPolicies,
   options: DEFAULT_ROUTER_OPTIONS,
   usePriorities: true,
 };
 
-/** Baselines that every experiment runs. */
+/**
+ * Baselines that every experiment runs: simple routing without admission
+ * control or recovery.
+ */
 export const BASELINES: readonly Arm[] = [
   {
     name: 'round-robin',
@@ -39,7 +43,7 @@
       concurrency: unlimited.create(board),
       recovery: giveUp.create(board),
     }),
-    options: PLAIN_OPTIONS,
+    options: BASELINE_OPTIONS,
     usePriorities: false,
   },
   {
@@ -51,15 +55,15 @@
       concurrency: unlimited.create(board),
       recovery: giveUp.create(board),
     }),
-    options: PLAIN_OPTIONS,
+    options: BASELINE_OPTIONS,
     usePriorities: false,
   },
 ];
 
-/** The own policy with one mechanism taken out. */
+/** The full policy with one mechanism disabled in each arm. */
 export const ABLATIONS: readonly Arm[] = [
   {
-    ...own,
+    ...fullPolicy,
     name: 'without-admission',
     policies: board => ({
       ...defaultPolicies(board),
@@ -67,7 +71,7 @@
     }),
   },
   {
-    ...own,
+    ...fullPolicy,
     name: 'without-tiers',
     policies: board => ({
       ...defaultPolicies(board),
@@ -76,7 +80,7 @@
     usePriorities: false,
   },
   {
-    ...own,
+    ...fullPolicy,
     name: 'without-limit',
     policies: board => ({
       ...defaultPolicies(board),
@@ -84,7 +88,7 @@
     }),
   },
   {
-    ...own,
+    ...fullPolicy,
     name: 'without-reports',
     policies: board => ({
       ...defaultPolicies(board),
@@ -92,7 +96,7 @@
     }),
   },
   {
-    ...own,
+    ...fullPolicy,
     name: 'without-affinity',
     policies: board => ({
       ...defaultPolicies(board),
@@ -100,7 +104,7 @@
     }),
   },
   {
-    ...own,
+    ...fullPolicy,
     name: 'without-straggler-avoidance',
     policies: board => ({
       ...defaultPolicies(board),
@@ -108,17 +112,17 @@
     }),
   },
   {
-    ...own,
+    ...fullPolicy,
     name: 'without-migration',
     options: { ...DEFAULT_ROUTER_OPTIONS, migrateFromStragglers: false },
   },
   {
-    ...own,
+    ...fullPolicy,
     name: 'without-silence-detection',
     options: { ...DEFAULT_ROUTER_OPTIONS, detectSilence: false },
   },
   {
-    ...own,
+    ...fullPolicy,
     name: 'without-resume',
     policies: board => ({
       ...defaultPolicies(board),
@@ -128,14 +132,14 @@
 ];
 
 /**
- * Chooses the arms of an experiment.
+ * Selects the arms of an experiment.
  *
- * @param ablations - names of ablations to run besides own policy and baselines
- * @returns the arms, own policy first
+ * @param ablations - names of the ablations to run
+ * @returns the full policy, then the baselines, then the ablations
  */
 export function armsFor(ablations: readonly string[]): readonly Arm[] {
   return [
-    own,
+    fullPolicy,
     ...BASELINES,
     ...ABLATIONS.filter(({ name }) => ablations.includes(name)),
   ];
--- a/packages/bench/src/experiments/burst-all.ts
+++ b/packages/bench/src/experiments/burst-all.ts
@@ -3,7 +3,7 @@
 
 const BURST = { startSeconds: 15, seconds: 15, factor: 3 };
 
-/** Every class bursts at once. */
+/** All request classes burst at the same time. */
 export const burstAll: Experiment = {
   meta: {
     name: 'burst-all',
--- a/packages/bench/src/experiments/burst-one-class.ts
+++ b/packages/bench/src/experiments/burst-one-class.ts
@@ -4,7 +4,7 @@
 const BURST = { startSeconds: 15, seconds: 20, factor: 8 };
 const BURSTING_TIER = 2;
 
-/** One class bursts while the others stay quiet. */
+/** One request class bursts while the others keep their normal load. */
 export const burstOneClass: Experiment = {
   meta: {
     name: 'burst-one-class',
--- a/packages/bench/src/experiments/caller-leaves.ts
+++ b/packages/bench/src/experiments/caller-leaves.ts
@@ -1,11 +1,11 @@
 import { mapStreams } from '../simulation/scaleScenario.js';
 import type { Experiment } from './Experiment.js';
 
-const FICKLE = 0.3;
-const PATIENCE_MS = 10_000;
+const EARLY_LEAVE_SHARE = 0.3;
+const LEAVE_WITHIN_MS = 10_000;
 const LOAD_FACTOR = 1.8;
 
-/** Many callers leave before their answer is whole. */
+/** Many callers disconnect before their answer is complete. */
 export const callerLeaves: Experiment = {
   meta: {
     name: 'caller-leaves',
@@ -18,8 +18,8 @@
       stream.target === 'engine'
         ? {
             ...stream,
-            fickle: FICKLE,
-            patienceMs: PATIENCE_MS,
+            earlyLeaveShare: EARLY_LEAVE_SHARE,
+            patienceMs: LEAVE_WITHIN_MS,
             requestsPerSecond: stream.requestsPerSecond * LOAD_FACTOR,
           }
         : stream,
--- a/packages/bench/src/experiments/catalogue.ts
+++ b/packages/bench/src/experiments/catalogue.ts
@@ -12,7 +12,7 @@
 import { silentConnections } from './silent-connections.js';
 import { straggler } from './straggler.js';
 
-/** Experiments in virtual time. */
+/** All experiments that are simulated in virtual time. */
 export const EXPERIMENTS: readonly Experiment[] = [
   burstAll,
   burstOneClass,
--- a/packages/bench/src/experiments/engine-crash.ts
+++ b/packages/bench/src/experiments/engine-crash.ts
@@ -1,6 +1,6 @@
 import type { Experiment } from './Experiment.js';
 
-/** Engines crash in the middle of their streams. */
+/** Engines crash while they have open streams. */
 export const engineCrash: Experiment = {
   meta: {
     name: 'engine-crash',
--- a/packages/bench/src/experiments/lagging-reports.ts
+++ b/packages/bench/src/experiments/lagging-reports.ts
@@ -1,11 +1,11 @@
-import { engineTokensPerSecond } from '../simulation/scenarioOf.js';
+import { engineTokensPerSecond } from '../simulation/createScenario.js';
 import { overloadLowerTiers } from '../simulation/scaleScenario.js';
 import type { Experiment } from './Experiment.js';
 
-const LAG_MS = 4000;
-const MULTIPLE = 0.6;
+const REPORT_LAG_MS = 4000;
+const DEMAND_OVER_CAPACITY = 0.6;
 
-/** Load reports lag far behind while the load is high. */
+/** Load reports arrive 4 s late while the load is high. */
 export const laggingReports: Experiment = {
   meta: {
     name: 'lagging-reports',
@@ -17,8 +17,8 @@
     ...overloadLowerTiers(
       deployment,
       engineTokensPerSecond(deployment),
-      MULTIPLE,
+      DEMAND_OVER_CAPACITY,
     ),
-    reportLagMs: LAG_MS,
+    reportLagMs: REPORT_LAG_MS,
   }),
 };
--- a/packages/bench/src/experiments/large-organisation.ts
+++ b/packages/bench/src/experiments/large-organisation.ts
@@ -4,7 +4,7 @@
 const BURST = { startSeconds: 10, seconds: 30, factor: 40 };
 const BURSTING_TIER = 2;
 
-/** One organisation floods a class that all use. */
+/** One organisation overloads a request class that all organisations use. */
 export const largeOrganisation: Experiment = {
   meta: {
     name: 'large-organisation',
--- a/packages/bench/src/experiments/long-answers.ts
+++ b/packages/bench/src/experiments/long-answers.ts
@@ -1,10 +1,13 @@
 import { mapStreams } from '../simulation/scaleScenario.js';
 import type { Experiment } from './Experiment.js';
 
-const HEAVY_TAIL = 0.5;
-const GROWTH = 1.5;
+const HEAVY_TAIL_SHAPE = 0.5;
+const MEAN_LENGTH_FACTOR = 1.5;
 
-/** Answers are longer than usual and their lengths have a heavy tail. */
+/**
+ * Answers are longer than normal, and the distribution of their lengths has a
+ * heavy tail.
+ */
 export const longAnswers: Experiment = {
   meta: {
     name: 'long-answers',
@@ -17,8 +20,8 @@
       stream.target === 'engine'
         ? {
             ...stream,
-            meanTokens: stream.meanTokens * GROWTH,
-            lengthShape: HEAVY_TAIL,
+            meanTokens: stream.meanTokens * MEAN_LENGTH_FACTOR,
+            lengthShape: HEAVY_TAIL_SHAPE,
           }
         : stream,
     ),
--- a/packages/bench/src/experiments/night-batch.ts
+++ b/packages/bench/src/experiments/night-batch.ts
@@ -1,11 +1,14 @@
 import { mapStreams, tierOfStream } from '../simulation/scaleScenario.js';
 import type { Experiment } from './Experiment.js';
 
-const LOWEST = 3;
-const BATCH_FACTOR = 6;
-const DAY_FACTOR = 2.5;
+const BATCH_FROM_TIER = 3;
+const BATCH_LOAD_FACTOR = 6;
+const HIGHER_TIER_LOAD_FACTOR = 2.5;
 
-/** The nightly batch meets a full load of higher tiers. */
+/**
+ * A nightly batch in the lowest engine class coincides with a high load of the
+ * engine classes above it.
+ */
 export const nightBatch: Experiment = {
   meta: {
     name: 'night-batch',
@@ -18,8 +21,8 @@
       if (stream.target !== 'engine') {
         return stream;
       }
-      const isBatch = tierOfStream(deployment, stream) >= LOWEST;
-      const factor = isBatch ? BATCH_FACTOR : DAY_FACTOR;
+      const isBatch = tierOfStream(deployment, stream) >= BATCH_FROM_TIER;
+      const factor = isBatch ? BATCH_LOAD_FACTOR : HIGHER_TIER_LOAD_FACTOR;
       return {
         ...stream,
         requestsPerSecond: stream.requestsPerSecond * factor,
--- a/packages/bench/src/experiments/overload-2x.ts
+++ b/packages/bench/src/experiments/overload-2x.ts
@@ -1,10 +1,13 @@
-import { engineTokensPerSecond } from '../simulation/scenarioOf.js';
+import { engineTokensPerSecond } from '../simulation/createScenario.js';
 import { overloadLowerTiers } from '../simulation/scaleScenario.js';
 import type { Experiment } from './Experiment.js';
 
-const MULTIPLE = 2;
+const DEMAND_OVER_CAPACITY = 2;
 
-/** Lower tiers ask for twice what the engines can generate, all the time. */
+/**
+ * Throughout the run, the tiers below 1 demand twice the engines' token
+ * capacity.
+ */
 export const overload2x: Experiment = {
   meta: {
     name: 'overload-2x',
@@ -18,5 +21,9 @@
     ],
   },
   create: deployment =>
-    overloadLowerTiers(deployment, engineTokensPerSecond(deployment), MULTIPLE),
+    overloadLowerTiers(
+      deployment,
+      engineTokensPerSecond(deployment),
+      DEMAND_OVER_CAPACITY,
+    ),
 };
--- a/packages/bench/src/experiments/prefix-reuse.ts
+++ b/packages/bench/src/experiments/prefix-reuse.ts
@@ -3,9 +3,12 @@
 
 const PROMPT_TOKENS = 3000;
 const PREFIX_TOKENS = 2800;
-const PREFIXES = 4;
+const PREFIXES_PER_STREAM = 4;
 
-/** Long prompts share long prefixes, more than one engine's cache holds. */
+/**
+ * Long prompts share long prefixes, which together exceed the prefix cache of
+ * one engine.
+ */
 export const prefixReuse: Experiment = {
   meta: {
     name: 'prefix-reuse',
@@ -20,7 +23,7 @@
             ...stream,
             promptTokens: PROMPT_TOKENS,
             prefixTokens: PREFIX_TOKENS,
-            prefixes: PREFIXES,
+            prefixCount: PREFIXES_PER_STREAM,
           }
         : stream,
     ),
--- a/packages/bench/src/experiments/runExperiment.ts
+++ b/packages/bench/src/experiments/runExperiment.ts
@@ -8,16 +8,17 @@
 import type { Experiment } from './Experiment.js';
 import type { ArmResult, ExperimentResult } from './ExperimentResult.js';
 
-/** How an experiment is run. */
+/** Options of an experiment run. */
 export interface ExperimentOptions {
   readonly seed: number;
-  /** Length of the load; the experiment's own where null. */
+  /** Length of the load; null for the scenario's default. */
   readonly seconds: number | null;
 }
 
-const MAX_BROKEN = 20;
+const MAX_LISTED_VIOLATIONS = 20;
 
-function runBoth(
+/** Runs one arm on each scenario and adds up the results. */
+function runArmOnScenarios(
   scenarios: readonly Scenario[],
   arm: Arm,
   seed: number,
@@ -27,32 +28,33 @@
     run: runArm(scenario, arm, seed, drawArrivals(scenario, seed)),
   }));
   const generated = runs.reduce((sum, { run }) => sum + run.generatedTokens, 0);
-  const whole = runs.reduce((sum, { run }) => sum + run.wholeTokens, 0);
+  const completed = runs.reduce((sum, { run }) => sum + run.completedTokens, 0);
   const classes = runs.flatMap(({ run }) => run.classes);
-  const broken = runs.flatMap(({ scenario, run }) =>
+  const violations = runs.flatMap(({ scenario, run }) =>
     run.brokenPromises.map(line => `${scenario.name}: ${line}`),
   );
   return {
     name: arm.name,
-    wastedWork: generated === 0 ? 0 : 1 - whole / generated,
+    wastedWork: generated === 0 ? 0 : 1 - completed / generated,
     goodput: classes.reduce((sum, { goodput }) => sum + goodput, 0),
     classes,
     brokenPromises:
-      broken.length > MAX_BROKEN
+      violations.length > MAX_LISTED_VIOLATIONS
         ? [
-            ...broken.slice(0, MAX_BROKEN),
-            `and ${broken.length - MAX_BROKEN} more`,
+            ...violations.slice(0, MAX_LISTED_VIOLATIONS),
+            `and ${violations.length - MAX_LISTED_VIOLATIONS} more`,
           ]
-        : broken,
+        : violations,
   };
 }
 
 /**
- * Runs every arm of an experiment on both deployments with the same calls.
+ * Runs every arm of an experiment on both deployments. All arms get the same
+ * calls.
  *
- * @param experiment - from the catalogue
+ * @param experiment - experiment to run
  * @param options - seed and length
- * @returns one result an arm
+ * @returns one result for each arm
  */
 export function runExperiment(
   experiment: Experiment,
@@ -66,6 +68,8 @@
   return {
     experiment: name,
     seed,
-    arms: armsFor(ablations).map(arm => runBoth(scenarios, arm, seed)),
+    arms: armsFor(ablations).map(arm =>
+      runArmOnScenarios(scenarios, arm, seed),
+    ),
   };
 }
--- a/packages/bench/src/experiments/silent-connections.ts
+++ b/packages/bench/src/experiments/silent-connections.ts
@@ -1,6 +1,9 @@
 import type { Experiment } from './Experiment.js';
 
-/** Open connections go silent for good while new ones work. */
+/**
+ * Open connections stop delivering data without closing, while new connections
+ * work.
+ */
 export const silentConnections: Experiment = {
   meta: {
     name: 'silent-connections',
--- a/packages/bench/src/experiments/straggler.ts
+++ b/packages/bench/src/experiments/straggler.ts
@@ -1,6 +1,6 @@
 import type { Experiment } from './Experiment.js';
 
-/** One engine becomes a straggler for a while. */
+/** One engine becomes four times slower for 30 s. */
 export const straggler: Experiment = {
   meta: {
     name: 'straggler',
--- a/packages/bench/src/simulation/Arm.ts
+++ b/packages/bench/src/simulation/Arm.ts
@@ -1,10 +1,15 @@
 import type { PolicyFactory, RouterOptions } from '@jujubecroft/decisions';
 
-/** One way of deciding, run side by side with others on the same calls. */
+/**
+ * Router policies and options under comparison; all arms run on the same calls.
+ */
 export interface Arm {
   readonly name: string;
   readonly policies: PolicyFactory;
   readonly options: RouterOptions;
-  /** Whether engines are told the tier as their priority. */
+  /**
+   * Whether engines schedule sequences by tier; otherwise all have the same
+   * priority.
+   */
   readonly usePriorities: boolean;
 }
--- a/packages/bench/src/simulation/CallRecord.ts
+++ b/packages/bench/src/simulation/CallRecord.ts
@@ -1,18 +1,20 @@
 import type { Arrival } from './drawArrivals.js';
 
-/** What happened to one call in one run. */
+/** State and progress of one call in one run. */
 export interface CallRecord {
   readonly arrival: Arrival;
   state: 'ended' | 'open';
+  /** Tokens delivered to the caller. */
   tokens: number;
+  /** Virtual time of the first token; 0 before it. */
   firstTokenAtMs: number;
   lastTokenAtMs: number;
-  /** Times that the call was started at a plain service. */
+  /** Number of times that the call was started on a plain service. */
   runs: number;
 }
 
 /**
- * Starts the record of a call.
+ * Creates the record of a call that has just arrived.
  *
  * @param arrival - the call
  * @returns an open record without tokens
--- a/packages/bench/src/simulation/CallTracker.ts
+++ b/packages/bench/src/simulation/CallTracker.ts
@@ -4,51 +4,53 @@
 import type { CallRecord } from './CallRecord.js';
 import { createCallRecord } from './CallRecord.js';
 import type { Arrival } from './drawArrivals.js';
-import { PromiseWatch } from './PromiseWatch.js';
+import { GuaranteeChecker } from './GuaranteeChecker.js';
 import type { Scenario } from './Scenario.js';
 
-/** The calls of one run and what became of them. */
-export class CallLedger {
-  readonly promises: PromiseWatch;
-  readonly #calls = new Map<string, CallRecord>();
+/** Tracks the calls of one run and their outcomes. */
+export class CallTracker {
+  /** Checks the guarantees of the system during the run. */
+  readonly guarantees: GuaranteeChecker;
+  readonly #records = new Map<string, CallRecord>();
   readonly #tallies = new Map<string, ClassTally>();
   #wholeTokens = 0;
 
   constructor(private readonly scenario: Scenario) {
-    this.promises = new PromiseWatch(scenario.classes);
+    this.guarantees = new GuaranteeChecker(scenario.classes);
     scenario.classes.forEach(rules => {
       this.#tallies.set(rules.id, new ClassTally({ ...rules, name: rules.id }));
     });
   }
 
-  /** Engine tokens of whole answers. */
-  get wholeTokens(): number {
+  /** Number of engine tokens in complete answers. */
+  get completedTokens(): number {
     return this.#wholeTokens;
   }
 
+  /** @returns the record of a call, or undefined if the id is unknown */
   find(id: string): CallRecord | undefined {
-    return this.#calls.get(id);
+    return this.#records.get(id);
   }
 
-  /** Opens a record for a call that arrives. */
+  /** Creates the record of a new call. */
   open(arrival: Arrival): CallRecord {
     const call = createCallRecord(arrival);
-    this.#calls.set(arrival.id, call);
+    this.#records.set(arrival.id, call);
     return call;
   }
 
-  /** Notes tokens that reach the caller. */
+  /** Counts a token that reaches the caller at a time. */
   onToken(call: CallRecord, atMs: number): void {
     call.tokens += 1;
     call.lastTokenAtMs = atMs;
     call.firstTokenAtMs ||= atMs;
   }
 
-  /** Ends a call with its whole answer. */
+  /** Ends a call whose answer is complete. */
   whole(call: CallRecord): void {
     const { arrival, tokens, firstTokenAtMs, lastTokenAtMs } = call;
     const gaps = Math.max(1, tokens - 1);
-    this.promises.onWhole(call);
+    this.guarantees.onCompleted(call);
     this.#wholeTokens += arrival.stream.target === 'engine' ? tokens : 0;
     this.end(call, {
       kind: 'whole',
@@ -58,7 +60,7 @@
     });
   }
 
-  /** Ends a call, whatever came of it; later news of it is ignored. */
+  /** Ends a call with an outcome; does nothing if the call already ended. */
   end(call: CallRecord, outcome: Outcome): void {
     if (call.state === 'ended') {
       return;
@@ -67,9 +69,13 @@
     this.#tallies.get(call.arrival.stream.requestClass)?.add(outcome);
   }
 
-  /** Ends what is still open and sums up. */
+  /**
+   * Ends the open calls as left by their callers, and checks for starvation.
+   *
+   * @returns results by request class
+   */
   close(): readonly ClassResult[] {
-    [...this.#calls.values()]
+    [...this.#records.values()]
       .filter(({ state }) => state === 'open')
       .forEach(call => {
         this.end(call, { kind: 'left', tokens: call.tokens });
@@ -77,7 +83,7 @@
     const classes = [...this.#tallies.values()].map(tally =>
       tally.result(this.scenario.seconds),
     );
-    this.promises.onEnd(classes);
+    this.guarantees.checkStarvation(classes);
     return classes;
   }
 }
--- a/packages/bench/src/simulation/EventQueue.ts
+++ b/packages/bench/src/simulation/EventQueue.ts
@@ -6,28 +6,36 @@
   readonly run: () => void;
 }
 
-/** Virtual time: events run in order of their time, ties in order of scheduling. */
+/**
+ * Event queue with virtual time: events run in order of time, and events of the
+ * same time in the order in which they were scheduled.
+ */
 export class EventQueue {
   #nowMs = 0;
-  #order = 0;
+  #lastOrder = 0;
   readonly #events = new Heap<Scheduled>(
     (a, b) => a.atMs - b.atMs || a.order - b.order,
   );
 
+  /** Current virtual time. */
   get nowMs(): number {
     return this.#nowMs;
   }
 
+  /** Schedules an event after a delay. */
   after(delayMs: number, run: () => void): void {
     this.at(this.#nowMs + delayMs, run);
   }
 
+  /** Schedules an event at a virtual time. */
   at(atMs: number, run: () => void): void {
-    this.#order += 1;
-    this.#events.push({ atMs, order: this.#order, run });
+    this.#lastOrder += 1;
+    this.#events.push({ atMs, order: this.#lastOrder, run });
   }
 
-  /** Repeats until the end of the run. */
+  /**
+   * Schedules an event at a first time and then once per period, without end.
+   */
   every(periodMs: number, firstMs: number, run: () => void): void {
     this.at(firstMs, () => {
       run();
@@ -35,6 +43,7 @@
     });
   }
 
+  /** Runs all events up to and including a virtual time. */
   runUntil(endMs: number): void {
     let next = this.#events.peek();
     while (next && next.atMs <= endMs) {
--- a/packages/bench/src/simulation/GuaranteeChecker.ts
+++ b/packages/bench/src/simulation/GuaranteeChecker.ts
@@ -6,27 +6,33 @@
 
 import type { CallRecord } from './CallRecord.js';
 
-const SHED_FOR_LOAD: ReadonlySet<ResultCodeId> = new Set([
+/** Result codes with which a request is shed because of overload. */
+const OVERLOAD_CODES: ReadonlySet<ResultCodeId> = new Set([
   'queueWaitExceeded',
   'targetUnreachable',
 ]);
 
-interface LowerDispatch {
+interface LowerTierDispatch {
   readonly atMs: number;
   readonly requestClass: string;
 }
 
-/** Watches one run for broken promises. */
-export class PromiseWatch {
+/** Checks that the router keeps its guarantees during one run. */
+export class GuaranteeChecker {
+  /** Violations found so far, one line each. */
   readonly broken: string[] = [];
-  readonly #rules: ReadonlyMap<string, RequestClass>;
-  /** Last dispatch that was not owed to a guaranteed share, by instance and tier. */
-  readonly #lastLower = new Map<string, LowerDispatch>();
+  readonly #classes: ReadonlyMap<string, RequestClass>;
+  /**
+   * Last dispatch below tier 1 to an engine outside a guaranteed share, by
+   * instance.
+   */
+  readonly #lastLowerDispatch = new Map<string, LowerTierDispatch>();
 
   constructor(classes: readonly RequestClass[]) {
-    this.#rules = new Map(classes.map(rules => [rules.id, rules]));
+    this.#classes = new Map(classes.map(rules => [rules.id, rules]));
   }
 
+  /** Checks a decision of a router. */
   onDecision(event: DecisionEvent, call: CallRecord | undefined): void {
     const { decision } = event;
     if (
@@ -40,31 +46,37 @@
     }
   }
 
-  onWhole(call: CallRecord): void {
+  /** Checks that a complete answer has all its tokens. */
+  onCompleted(call: CallRecord): void {
     const { arrival, tokens } = call;
-    const wanted =
+    const expectedTokens =
       arrival.stream.target === 'engine' ? arrival.outputTokens : 1;
-    if (tokens !== wanted) {
-      this.broken.push(`${arrival.id}: ${tokens} of ${wanted} tokens`);
+    if (tokens !== expectedTokens) {
+      this.broken.push(`${arrival.id}: ${tokens} of ${expectedTokens} tokens`);
     }
   }
 
+  /** Checks that a call refused as not run was never started on a service. */
   onNotRun(call: CallRecord): void {
     if (call.runs > 0) {
       this.broken.push(`${call.arrival.id}: told "not run" but ran`);
     }
   }
 
+  /**
+   * Counts a start on a service, and checks that a non-idempotent call starts
+   * once.
+   */
   onServiceStart(call: CallRecord): void {
     call.runs += 1;
-    const rules = this.#rules.get(call.arrival.stream.requestClass);
+    const rules = this.#classes.get(call.arrival.stream.requestClass);
     if (rules && !rules.idempotent && call.runs > 1) {
       this.broken.push(`${call.arrival.id}: non-idempotent but ran twice`);
     }
   }
 
-  /** A class with calls but no whole answer starved. */
-  onEnd(
+  /** Checks that each class with calls got at least one complete answer. */
+  checkStarvation(
     counts: readonly { name: string; sent: number; whole: number }[],
   ): void {
     counts
@@ -75,26 +87,29 @@
   }
 
   #onRouted(event: DecisionEvent, guaranteed: boolean): void {
-    const tier = this.#rules.get(event.requestClass)?.tier ?? 1;
+    const tier = this.#classes.get(event.requestClass)?.tier ?? 1;
     if (tier > 1 && !guaranteed) {
-      this.#lastLower.set(event.instance, {
+      this.#lastLowerDispatch.set(event.instance, {
         atMs: event.atMs,
         requestClass: event.requestClass,
       });
     }
   }
 
-  /** Tier 1 was shed although lower work of the same pool went out meanwhile. */
+  /**
+   * Checks that an engine request of tier 1 is not shed for overload if the
+   * same instance dispatched a lower tier since the request arrived.
+   */
   #onShed(event: DecisionEvent, code: ResultCodeId, call: CallRecord): void {
-    const tier = this.#rules.get(event.requestClass)?.tier;
+    const tier = this.#classes.get(event.requestClass)?.tier;
     const isEngine = call.arrival.stream.target === 'engine';
-    if (tier !== 1 || !isEngine || !SHED_FOR_LOAD.has(code)) {
+    if (tier !== 1 || !isEngine || !OVERLOAD_CODES.has(code)) {
       return;
     }
-    const lower = this.#lastLower.get(event.instance);
-    if (lower && lower.atMs >= call.arrival.atMs) {
+    const lowerDispatch = this.#lastLowerDispatch.get(event.instance);
+    if (lowerDispatch && lowerDispatch.atMs >= call.arrival.atMs) {
       this.broken.push(
-        `${event.request}: tier 1 shed while ${lower.requestClass} was served`,
+        `${event.request}: tier 1 shed while ${lowerDispatch.requestClass} was served`,
       );
     }
   }
--- a/packages/bench/src/simulation/Scenario.ts
+++ b/packages/bench/src/simulation/Scenario.ts
@@ -5,33 +5,40 @@
   RequestClass,
 } from '@jujubecroft/types';
 
-/** One stream of calls; rates are in calls a second over the whole fleet. */
+/** One stream of calls of one organisation and request class. */
 export interface SimStream {
   readonly requestClass: string;
   readonly organisation: string;
   readonly target: 'engine' | 'service';
+  /** Mean rate over all instances. */
   readonly requestsPerSecond: number;
+  /** Time window during which the rate is multiplied by `factor`. */
   readonly burst?: {
     readonly startSeconds: number;
     readonly seconds: number;
     readonly factor: number;
   };
   readonly promptTokens: number;
-  /** Shared leading part of the prompt, and how many different ones there are. */
+  /** Length of the leading part that prompts of this stream share. */
   readonly prefixTokens: number;
-  readonly prefixes: number;
+  /** Number of different prefixes. */
+  readonly prefixCount: number;
+  /** Mean length of an answer. */
   readonly meanTokens: number;
-  /** Shape of the length: 1 is exponential, less has a heavier tail. */
+  /**
+   * Shape of the Weibull distribution of answer lengths: 1 is exponential, less
+   * has a heavier tail.
+   */
   readonly lengthShape: number;
-  /** The caller leaves when the first token has not come by then. */
-  readonly firstPatienceMs: number;
-  /** The caller leaves when the answer is not whole by then. */
+  /** Time after which the caller disconnects if it has received no token. */
+  readonly firstTokenTimeoutMs: number;
+  /** Time after which the caller disconnects if the answer is not complete. */
   readonly patienceMs: number;
-  /** Share of callers that leave at a random moment. */
-  readonly fickle: number;
+  /** Share of callers that disconnect at a random time within `patienceMs`. */
+  readonly earlyLeaveShare: number;
 }
 
-/** Something that goes wrong at one engine. */
+/** A fault of one engine, given by its index. */
 export type SimFault =
   | {
       readonly kind: 'crash';
@@ -48,7 +55,7 @@
       readonly factor: number;
     };
 
-/** A deployment under load and faults, in virtual time. */
+/** A deployment with its load and faults, simulated in virtual time. */
 export interface Scenario {
   readonly name: string;
   readonly seconds: number;
@@ -58,10 +65,15 @@
   readonly classes: readonly RequestClass[];
   readonly servers: readonly BackendServer[];
   readonly engineModel: EngineModelSettings;
+  /** Calls that a plain service runs at the same time. */
   readonly serviceConcurrency: number;
+  /** Mean service time of a plain service. */
   readonly serviceMeanMs: number;
-  readonly networkMs: number;
-  readonly callerMs: number;
+  /** One-way latency between instances and backend servers. */
+  readonly backendLatencyMs: number;
+  /** One-way latency between callers and instances. */
+  readonly callerLatencyMs: number;
+  /** Delay until a load report reaches the instances. */
   readonly reportLagMs: number;
   readonly streams: readonly SimStream[];
   readonly faults: readonly SimFault[];
--- a/packages/bench/src/simulation/SimEngine.ts
+++ b/packages/bench/src/simulation/SimEngine.ts
@@ -4,39 +4,45 @@
 
 import type { EventQueue } from './EventQueue.js';
 
-/** Hears of one sequence, after the network. */
+/** Callbacks for one sequence, called after the network latency. */
 export interface SimListener {
   readonly onToken: () => void;
   readonly onFinished: () => void;
+  /** Called if the engine crashes before the sequence is complete. */
   readonly onLost: () => void;
 }
 
-interface Live {
+interface ActiveSequence {
   readonly listener: SimListener;
+  /** Whether callbacks are suppressed while the engine goes on generating. */
   silent: boolean;
 }
 
-/** An engine model on virtual time. */
+/** Runs an engine model in virtual time. */
 export class SimEngine {
   readonly model: EngineModel;
   crashed = false;
-  readonly #live = new Map<string, Live>();
+  readonly #active = new Map<string, ActiveSequence>();
   #stepping = false;
 
   constructor(
     private readonly events: EventQueue,
     settings: EngineModelSettings,
-    private readonly networkMs: number,
+    private readonly latencyMs: number,
   ) {
     this.model = new EngineModel(settings);
   }
 
-  /** @returns false when the engine refuses, so the sequence did not run */
+  /**
+   * Queues a sequence.
+   *
+   * @returns false if the engine has crashed and did not accept the sequence
+   */
   submit(request: SequenceRequest, listener: SimListener): boolean {
     if (this.crashed) {
       return false;
     }
-    this.#live.set(request.id, { listener, silent: false });
+    this.#active.set(request.id, { listener, silent: false });
     this.model.submit(request);
     if (!this.#stepping) {
       this.#stepping = true;
@@ -45,26 +51,31 @@
     return true;
   }
 
+  /** Drops a sequence without calling its listener again. */
   cancel(id: string): void {
-    this.#live.delete(id);
+    this.#active.delete(id);
     this.model.cancel(id);
   }
 
+  /**
+   * Drops all sequences and refuses new ones until `crashed` is set to false.
+   */
   crash(): void {
     this.crashed = true;
     this.model.reset();
-    const lost = [...this.#live.values()];
-    this.#live.clear();
-    this.events.after(this.networkMs, () => {
+    const lost = [...this.#active.values()];
+    this.#active.clear();
+    this.events.after(this.latencyMs, () => {
       lost.forEach(({ listener }) => {
         listener.onLost();
       });
     });
   }
 
+  /** Permanently suppresses the callbacks of all sequences submitted so far. */
   silenceOpen(): void {
-    this.#live.forEach(live => {
-      live.silent = true;
+    this.#active.forEach(sequence => {
+      sequence.silent = true;
     });
   }
 
@@ -80,21 +91,21 @@
     });
   }
 
-  /** Tokens of a step reach their instances together. */
+  /** Delivers the tokens of one step to their listeners at the same time. */
   #deliver(produced: readonly string[], finished: readonly string[]): void {
-    const heard = produced
-      .map(id => this.#live.get(id))
-      .filter(live => live !== undefined && !live.silent);
+    const delivered = produced
+      .map(id => this.#active.get(id))
+      .filter(sequence => sequence !== undefined && !sequence.silent);
     const ended = finished
-      .map(id => this.#live.get(id))
-      .filter(live => live !== undefined && !live.silent);
-    finished.forEach(id => this.#live.delete(id));
-    this.events.after(this.networkMs, () => {
-      heard.forEach(live => {
-        live?.listener.onToken();
+      .map(id => this.#active.get(id))
+      .filter(sequence => sequence !== undefined && !sequence.silent);
+    finished.forEach(id => this.#active.delete(id));
+    this.events.after(this.latencyMs, () => {
+      delivered.forEach(sequence => {
+        sequence?.listener.onToken();
       });
-      ended.forEach(live => {
-        live?.listener.onFinished();
+      ended.forEach(sequence => {
+        sequence?.listener.onFinished();
       });
     });
   }
--- a/packages/bench/src/simulation/SimFleet.ts
+++ b/packages/bench/src/simulation/SimFleet.ts
@@ -5,31 +5,33 @@
 import { SimEngine } from './SimEngine.js';
 import { SimService } from './SimService.js';
 
-/** Load of one backend server at one moment. */
+/** Load of one backend server at one time. */
 export interface LoadReading {
   readonly id: BackendServerId;
   readonly running: number;
   readonly waiting: number;
 }
 
-/** Told of readings once they have travelled. */
+/** Called with the load of all backend servers, after the report lag. */
 export type ReadingsListener = (
   readings: readonly LoadReading[],
   takenAtMs: number,
 ) => void;
 
-/** As often as an instance with this many servers reads each of them. */
-const REPORT_EVERY_MS = 2800;
+/** Interval at which an instance with this number of servers polls each one. */
+const REPORT_INTERVAL_MS = 2800;
 
-/** The engines and plain services of one run, with their faults and reports. */
+/**
+ * Engines and plain services of one run, with their faults and load reports.
+ */
 export class SimFleet {
   readonly #engines = new Map<BackendServerId, SimEngine>();
   readonly #services = new Map<BackendServerId, SimService>();
 
   /**
-   * @param events - the run's virtual time
-   * @param scenario - servers, faults and delays
-   * @param onReadings - told of loads after the scenario's lag
+   * @param events - event queue of the run
+   * @param scenario - servers, faults and latencies
+   * @param onReadings - called with the loads after the scenario's report lag
    */
   constructor(
     private readonly events: EventQueue,
@@ -37,7 +39,7 @@
     private readonly onReadings: ReadingsListener,
   ) {}
 
-  /** Tokens that all engines made. */
+  /** Number of tokens that all engines generated. */
   get generatedTokens(): number {
     return [...this.#engines.values()].reduce(
       (sum, { model }) => sum + model.generatedTokens,
@@ -45,27 +47,38 @@
     );
   }
 
+  /** @returns the engine with an id, or undefined if there is none */
   engine(id: BackendServerId): SimEngine | undefined {
     return this.#engines.get(id);
   }
 
+  /** @returns the plain service with an id, or undefined if there is none */
   service(id: BackendServerId): SimService | undefined {
     return this.#services.get(id);
   }
 
-  /** Starts all servers, their reports and the faults. */
+  /** Creates all servers, and schedules their load reports and faults. */
   start(): void {
-    const { servers, engineModel, networkMs, serviceConcurrency, faults } =
-      this.scenario;
+    const {
+      servers,
+      engineModel,
+      backendLatencyMs,
+      serviceConcurrency,
+      faults,
+    } = this.scenario;
     servers.forEach(({ id, models }) => {
       if (models.length > 0) {
-        const engine = new SimEngine(this.events, engineModel, networkMs);
+        const engine = new SimEngine(
+          this.events,
+          engineModel,
+          backendLatencyMs,
+        );
         this.#engines.set(id, engine);
         return;
       }
       this.#services.set(id, new SimService(this.events, serviceConcurrency));
     });
-    this.events.every(REPORT_EVERY_MS, REPORT_EVERY_MS, () => {
+    this.events.every(REPORT_INTERVAL_MS, REPORT_INTERVAL_MS, () => {
       this.#report();
     });
     faults.forEach(fault => {
@@ -73,7 +86,10 @@
     });
   }
 
-  /** Reports are taken now and reach the instances after the lag. */
+  /**
+   * Reads the loads now and delivers them after the report lag; crashed engines
+   * are left out.
+   */
   #report(): void {
     const takenAtMs = this.events.nowMs;
     const readings: readonly LoadReading[] = [
--- a/packages/bench/src/simulation/SimService.ts
+++ b/packages/bench/src/simulation/SimService.ts
@@ -5,7 +5,7 @@
   readonly onFinished: () => void;
 }
 
-/** A plain service with bounded concurrency on virtual time. */
+/** Simulates a plain service with bounded concurrency in virtual time. */
 export class SimService {
   running = 0;
   readonly #waiting: Call[] = [];
@@ -19,6 +19,10 @@
     return this.#waiting.length;
   }
 
+  /**
+   * Runs a call for a service time, once a slot is free; calls start in order
+   * of arrival.
+   */
   submit(serviceMs: number, onFinished: () => void): void {
     this.#waiting.push({ serviceMs, onFinished });
     this.#startNext();
--- a/packages/bench/src/simulation/createScenario.ts
+++ b/packages/bench/src/simulation/createScenario.ts
@@ -15,17 +15,21 @@
 import { SIM_MODEL, SIM_SERVICE } from './runArm.js';
 import type { Scenario, SimStream } from './Scenario.js';
 
-/** Sizes of one deployment, as the brief gives them. */
+/**
+ * Number of servers of each kind in a deployment, and the latency to its
+ * callers.
+ */
 export interface DeploymentSize {
   readonly name: string;
   readonly instances: number;
   readonly engines: number;
   readonly services: number;
   readonly failureDomains: readonly string[];
-  readonly callerMs: number;
+  /** One-way latency between callers and instances. */
+  readonly callerLatencyMs: number;
 }
 
-/** What a class is, and its share of the engine capacity in ordinary load. */
+/** Properties of a request class and its normal load. */
 export interface ClassSpec {
   readonly id: string;
   readonly tier: Tier;
@@ -37,37 +41,49 @@
   readonly guaranteedShare: number;
   readonly promptTokens: number;
   readonly prefixTokens: number;
+  /** Mean length of an answer. */
   readonly meanTokens: number;
-  /** Engines: share of token capacity. Services: calls a second. */
+  /**
+   * Normal load: for engines a share of the token capacity, for services calls
+   * per second.
+   */
   readonly load: number;
+  /** Time after which the caller disconnects if the answer is not complete. */
   readonly patienceMs: number;
 }
 
-const ENGINE_CAPACITY = 85;
+const ENGINE_CONCURRENCY = 85;
 const SERVICE_CONCURRENCY = 16;
 const SERVICE_MEAN_MS = 20;
-const ORGANISATIONS = 10;
-const LARGE_ORGANISATIONS = 3;
-/** Share of the calls that the large organisations send. */
+const ORGANISATION_COUNT = 10;
+const LARGE_ORGANISATION_COUNT = 3;
+/** Share of all calls that the large organisations send together. */
 const LARGE_SHARE = 0.6;
-const SECONDS = 60;
+const LOAD_SECONDS = 60;
 const REPORT_LAG_MS = 500;
-const PREFIXES = 12;
-const FICKLE = 0.01;
-const FIRST_PATIENCE_FACTOR = 6;
-const MIN_FIRST_PATIENCE_MS = 3000;
-const UNLIMITED = 1e9;
+const PREFIXES_PER_STREAM = 12;
+const EARLY_LEAVE_SHARE = 0.01;
+/** Callers wait for the first token for this multiple of its target. */
+const FIRST_TOKEN_TIMEOUT_FACTOR = 6;
+const MIN_FIRST_TOKEN_TIMEOUT_MS = 3000;
+const UNLIMITED_RATE = 1e9;
 
-/** Tokens a second of one engine with a full batch at the between-tokens target. */
+/**
+ * Token rate of one engine with the largest batch that meets the between-tokens
+ * target.
+ */
 export const ENGINE_TOKENS_PER_SECOND = 1050;
 
 function organisations(): readonly Organisation[] {
-  return Array.from({ length: ORGANISATIONS }, (_, index) => ({
+  return Array.from({ length: ORGANISATION_COUNT }, (_, index) => ({
     kind: 'organisation',
     id: brand<OrganisationId>(`org-${index + 1}`),
     keySha256: createHash('sha256').update(`${index}`).digest('hex'),
     weight: 1,
-    limits: { requestsPerSecond: UNLIMITED, tokensPerSecond: UNLIMITED },
+    limits: {
+      requestsPerSecond: UNLIMITED_RATE,
+      tokensPerSecond: UNLIMITED_RATE,
+    },
   }));
 }
 
@@ -88,7 +104,7 @@
     failureDomain: domainOf(index),
     models: [SIM_MODEL],
     services: [],
-    capacity: ENGINE_CAPACITY,
+    capacity: ENGINE_CONCURRENCY,
   }));
   const services = Array.from({ length: size.services }, (_, index) => ({
     ...base,
@@ -101,7 +117,7 @@
   return [...engines, ...services];
 }
 
-function rulesOf(spec: ClassSpec): RequestClass {
+function requestClassOf(spec: ClassSpec): RequestClass {
   const {
     id,
     tier,
@@ -129,11 +145,11 @@
     spec.target === 'engine'
       ? (spec.load * engines * ENGINE_TOKENS_PER_SECOND) / spec.meanTokens
       : spec.load;
-  return Array.from({ length: ORGANISATIONS }, (_, index) => {
-    const isLarge = index < LARGE_ORGANISATIONS;
+  return Array.from({ length: ORGANISATION_COUNT }, (_, index) => {
+    const isLarge = index < LARGE_ORGANISATION_COUNT;
     const share = isLarge
-      ? LARGE_SHARE / LARGE_ORGANISATIONS
-      : (1 - LARGE_SHARE) / (ORGANISATIONS - LARGE_ORGANISATIONS);
+      ? LARGE_SHARE / LARGE_ORGANISATION_COUNT
+      : (1 - LARGE_SHARE) / (ORGANISATION_COUNT - LARGE_ORGANISATION_COUNT);
     return {
       requestClass: spec.id,
       organisation: `org-${index + 1}`,
@@ -141,50 +157,51 @@
       requestsPerSecond: perSecond * share,
       promptTokens: spec.promptTokens,
       prefixTokens: spec.prefixTokens,
-      prefixes: PREFIXES,
+      prefixCount: PREFIXES_PER_STREAM,
       meanTokens: spec.meanTokens,
       lengthShape: 1,
-      firstPatienceMs: Math.max(
-        MIN_FIRST_PATIENCE_MS,
-        spec.firstTokenTargetMs * FIRST_PATIENCE_FACTOR,
+      firstTokenTimeoutMs: Math.max(
+        MIN_FIRST_TOKEN_TIMEOUT_MS,
+        spec.firstTokenTargetMs * FIRST_TOKEN_TIMEOUT_FACTOR,
       ),
       patienceMs: spec.patienceMs,
-      fickle: spec.target === 'engine' ? FICKLE : 0,
+      earlyLeaveShare: spec.target === 'engine' ? EARLY_LEAVE_SHARE : 0,
     };
   });
 }
 
 /**
- * Makes the scenario of a deployment in ordinary load.
+ * Creates the scenario of a deployment under normal load, without faults.
  *
- * @param size - of the deployment
- * @param specs - its classes of requests
+ * @param size - size of the deployment
+ * @param specs - request classes of the deployment
+ * @returns the scenario
  */
-export function scenarioOf(
+export function createScenario(
   size: DeploymentSize,
   specs: readonly ClassSpec[],
 ): Scenario {
   return {
     name: size.name,
-    seconds: SECONDS,
+    seconds: LOAD_SECONDS,
     instances: size.instances,
     failureDomains: size.failureDomains,
     organisations: organisations(),
-    classes: specs.map(rulesOf),
+    classes: specs.map(requestClassOf),
     servers: servers(size),
     engineModel: engineModelSchema.parse({}),
     serviceConcurrency: SERVICE_CONCURRENCY,
     serviceMeanMs: SERVICE_MEAN_MS,
-    networkMs: 1,
-    callerMs: size.callerMs,
+    backendLatencyMs: 1,
+    callerLatencyMs: size.callerLatencyMs,
     reportLagMs: REPORT_LAG_MS,
     streams: specs.flatMap(spec => streamsOf(spec, size.engines)),
     faults: [],
   };
 }
 
-/** Shape of a plain-service class. */
-export const SERVICE_CALL = {
+/** Properties that all plain-service classes have in common. */
+export const SERVICE_CLASS_DEFAULTS = {
   target: 'service' as const,
   betweenTokensTargetMs: 1000,
   guaranteedShare: 0.05,
@@ -194,7 +211,10 @@
   patienceMs: 20_000,
 };
 
-/** Tokens a second that all engines of a scenario can generate in time. */
+/**
+ * Token rate at which all engines of a scenario together can meet the
+ * between-tokens target.
+ */
 export function engineTokensPerSecond(scenario: Scenario): number {
   const engines = scenario.servers.filter(({ models }) => models.length > 0);
   return engines.length * ENGINE_TOKENS_PER_SECOND;
--- a/packages/bench/src/simulation/drawArrivals.ts
+++ b/packages/bench/src/simulation/drawArrivals.ts
@@ -3,38 +3,51 @@
 import { nextArrivalMs } from '../load/nextArrivalMs.js';
 import type { Scenario, SimStream } from './Scenario.js';
 
-/** One call, drawn before the run so that every arm sees the same calls. */
+/** One call, generated before the run so that all arms get the same calls. */
 export interface Arrival {
   readonly id: string;
   readonly atMs: number;
   readonly stream: SimStream;
+  /** Index of the instance that receives the call. */
   readonly instance: number;
   readonly prefixHash: number;
   readonly outputTokens: number;
-  /** When the caller leaves whatever happens; Infinity for most. */
-  readonly leavesAfterMs: number;
-  /** Service time at a plain service. */
+  /**
+   * Time after which the caller disconnects by choice; Infinity for most
+   * callers.
+   */
+  readonly withdrawsAfterMs: number;
+  /** Service time if the call goes to a plain service. */
   readonly serviceMs: number;
 }
 
 const MS_PER_SECOND = 1000;
-const MIN_TOKENS = 4;
-const MAX_TOKENS = 4000;
-const SEED_STEP = 7919;
-const PREFIX_STEP = 65_536;
+const MIN_ANSWER_TOKENS = 4;
+const MAX_ANSWER_TOKENS = 4000;
+const SEED_MULTIPLIER = 7919;
+const PREFIX_HASHES_PER_STREAM = 65_536;
 
-/** Weibull: shape 1 is exponential; the mean is kept for heavier tails. */
+/**
+ * Draws an answer length from a Weibull distribution with the stream's mean and
+ * shape.
+ */
 function drawLength(stream: SimStream, random: () => number): number {
   const { meanTokens, lengthShape } = stream;
-  const scale = meanTokens / gammaNear(1 + 1 / lengthShape);
+  const scale = meanTokens / approximateGamma(1 + 1 / lengthShape);
   const drawn = scale * (-Math.log(1 - random())) ** (1 / lengthShape);
-  return Math.min(MAX_TOKENS, Math.max(MIN_TOKENS, Math.round(drawn)));
+  return Math.min(
+    MAX_ANSWER_TOKENS,
+    Math.max(MIN_ANSWER_TOKENS, Math.round(drawn)),
+  );
 }
 
-/** Stirling's series; exact enough to keep the mean of the lengths. */
-function gammaNear(x: number): number {
+/**
+ * Gamma function by Stirling's series, accurate enough to preserve the mean
+ * length.
+ */
+function approximateGamma(x: number): number {
   if (x < 7) {
-    return gammaNear(x + 1) / x;
+    return approximateGamma(x + 1) / x;
   }
   const series = 1 + 1 / (12 * x) + 1 / (288 * x * x);
   return Math.sqrt((2 * Math.PI) / x) * (x / Math.E) ** x * series;
@@ -46,20 +59,22 @@
   index: number,
   seed: number,
 ): readonly Arrival[] {
-  const random = createRandom(seed * SEED_STEP + index + 1);
+  const random = createRandom(seed * SEED_MULTIPLIER + index + 1);
   const arrivals: Arrival[] = [];
   const endMs = scenario.seconds * MS_PER_SECOND;
   let atMs = nextArrivalMs(stream, 0, random);
   while (atMs < endMs) {
-    const isFickle = random() < stream.fickle;
+    const isEarlyLeaver = random() < stream.earlyLeaveShare;
     arrivals.push({
       id: `${index}-${arrivals.length}`,
       atMs,
       stream,
       instance: Math.floor(random() * scenario.instances),
-      prefixHash: index * PREFIX_STEP + Math.floor(random() * stream.prefixes),
+      prefixHash:
+        index * PREFIX_HASHES_PER_STREAM +
+        Math.floor(random() * stream.prefixCount),
       outputTokens: drawLength(stream, random),
-      leavesAfterMs: isFickle ? random() * stream.patienceMs : Infinity,
+      withdrawsAfterMs: isEarlyLeaver ? random() * stream.patienceMs : Infinity,
       serviceMs: -Math.log(1 - random()) * scenario.serviceMeanMs,
     });
     atMs = nextArrivalMs(stream, atMs, random);
@@ -68,11 +83,11 @@
 }
 
 /**
- * Draws every call of a scenario.
+ * Generates all calls of a scenario at random.
  *
- * @param scenario - streams and length
- * @param seed - equal seeds give equal calls
- * @returns calls in order of time
+ * @param scenario - scenario with its streams and length
+ * @param seed - random seed; the same seed gives the same calls
+ * @returns calls in order of arrival
  */
 export function drawArrivals(
   scenario: Scenario,
--- a/packages/bench/src/simulation/qantara.ts
+++ b/packages/bench/src/simulation/qantara.ts
@@ -1,8 +1,11 @@
-import type { DeploymentSize } from './scenarioOf.js';
-import { scenarioOf, SERVICE_CALL } from './scenarioOf.js';
+import type { DeploymentSize } from './createScenario.js';
+import { createScenario, SERVICE_CLASS_DEFAULTS } from './createScenario.js';
 import type { Scenario } from './Scenario.js';
 
-/** Qantara Bio Audit: farm inspections; 6 engines and 3 tablet servers. */
+/**
+ * Normal load of Qantara Bio Audit, which runs farm inspections: 6 engines and
+ * 3 services.
+ */
 export function qantara(): Scenario {
   const size: DeploymentSize = {
     name: 'qantara',
@@ -10,9 +13,9 @@
     engines: 6,
     services: 3,
     failureDomains: ['ma-central-a', 'ma-central-b', 'ma-central-c'],
-    callerMs: 3,
+    callerLatencyMs: 3,
   };
-  return scenarioOf(size, [
+  return createScenario(size, [
     {
       id: 'audit-draft',
       tier: 1,
@@ -44,7 +47,7 @@
       patienceMs: 30_000,
     },
     {
-      ...SERVICE_CALL,
+      ...SERVICE_CLASS_DEFAULTS,
       id: 'visit-sync',
       tier: 2,
       idempotent: false,
@@ -68,7 +71,7 @@
       patienceMs: 30_000,
     },
     {
-      ...SERVICE_CALL,
+      ...SERVICE_CLASS_DEFAULTS,
       id: 'evidence-upload',
       tier: 4,
       idempotent: true,
--- a/packages/bench/src/simulation/runArm.ts
+++ b/packages/bench/src/simulation/runArm.ts
@@ -14,42 +14,45 @@
 
 import type { ClassResult } from '../report/ClassResult.js';
 import type { Arm } from './Arm.js';
-import { CallLedger } from './CallLedger.js';
+import { CallTracker } from './CallTracker.js';
 import type { CallRecord } from './CallRecord.js';
 import type { Arrival } from './drawArrivals.js';
 import { EventQueue } from './EventQueue.js';
 import type { Scenario } from './Scenario.js';
 import { SimFleet } from './SimFleet.js';
 
-/** What one arm brought in one scenario. */
+/** Result of one arm in one scenario. */
 export interface ArmRun {
   readonly classes: readonly ClassResult[];
   readonly generatedTokens: number;
-  readonly wholeTokens: number;
+  /** Engine tokens in complete answers. */
+  readonly completedTokens: number;
+  /** Violated guarantees, one line each. */
   readonly brokenPromises: readonly string[];
 }
 
 export const SIM_MODEL = brand<ModelId>('model');
 export const SIM_SERVICE = brand<ServiceId>('service');
 
-const TICK_MS = 100;
+const TICK_INTERVAL_MS = 100;
 const MS_PER_SECOND = 1000;
+/** Time after the end of the load in which open calls may finish. */
 const DRAIN_SECONDS = 120;
-const SAME_PRIORITY = 1;
+const DEFAULT_PRIORITY = 1;
 
-/** One run: a fleet of routers, engines and services on virtual time. */
+/** One run: simulates routers, engines and services in virtual time. */
 class SimRun {
   readonly #events = new EventQueue();
   readonly #routers: Router[] = [];
   readonly #fleet: SimFleet;
-  readonly #ledger: CallLedger;
+  readonly #tracker: CallTracker;
 
   constructor(
     private readonly scenario: Scenario,
     private readonly arm: Arm,
     private readonly seed: number,
   ) {
-    this.#ledger = new CallLedger(scenario);
+    this.#tracker = new CallTracker(scenario);
     this.#fleet = new SimFleet(
       this.#events,
       scenario,
@@ -69,15 +72,15 @@
     this.#startRouters();
     arrivals.forEach(arrival => {
       this.#events.at(arrival.atMs, () => {
-        this.#arrive(arrival);
+        this.#submit(arrival);
       });
     });
     this.#events.runUntil((seconds + DRAIN_SECONDS) * MS_PER_SECOND);
     return {
-      classes: this.#ledger.close(),
+      classes: this.#tracker.close(),
       generatedTokens: this.#fleet.generatedTokens,
-      wholeTokens: this.#ledger.wholeTokens,
-      brokenPromises: this.#ledger.promises.broken,
+      completedTokens: this.#tracker.completedTokens,
+      brokenPromises: this.#tracker.guarantees.broken,
     };
   }
 
@@ -86,7 +89,7 @@
     const instances = Array.from({ length: scenario.instances }, (_, index) =>
       brand<InstanceId>(`entry-${index + 1}`),
     );
-    const cfg: Configuration = {
+    const configuration: Configuration = {
       revision: 1,
       organisations: scenario.organisations,
       requestClasses: scenario.classes,
@@ -111,17 +114,17 @@
             },
             cancel: (record, attempt) => {
               const key = `${record.request.id}/${attempt.number}`;
-              this.#events.after(scenario.networkMs, () => {
+              this.#events.after(scenario.backendLatencyMs, () => {
                 this.#fleet.engine(attempt.backendServer)?.cancel(key);
               });
             },
             refuse: (record, refusal) => {
-              const call = this.#ledger.find(record.request.id);
+              const call = this.#tracker.find(record.request.id);
               if (call && RESULT_CODES[refusal.code].ran === 'no') {
-                this.#ledger.promises.onNotRun(call);
+                this.#tracker.guarantees.onNotRun(call);
               }
               if (call) {
-                this.#ledger.end(call, {
+                this.#tracker.end(call, {
                   kind: 'refused',
                   tokens: call.tokens,
                 });
@@ -129,9 +132,9 @@
             },
             isWatched: () => false,
             explain: event => {
-              this.#ledger.promises.onDecision(
+              this.#tracker.guarantees.onDecision(
                 event,
-                this.#ledger.find(event.request),
+                this.#tracker.find(event.request),
               );
             },
           },
@@ -139,26 +142,30 @@
         arm.policies,
         arm.options,
       );
-      router.configure(cfg);
+      router.configure(configuration);
       this.#routers.push(router);
-      this.#events.every(TICK_MS, (TICK_MS * index) / instances.length, () => {
-        router.tick();
-      });
+      this.#events.every(
+        TICK_INTERVAL_MS,
+        (TICK_INTERVAL_MS * index) / instances.length,
+        () => {
+          router.tick();
+        },
+      );
     });
   }
 
-  #arrive(arrival: Arrival): void {
+  #submit(arrival: Arrival): void {
     const router = this.#routers[arrival.instance];
     const { stream, id } = arrival;
-    const call = this.#ledger.open(arrival);
+    const call = this.#tracker.open(arrival);
     const rules = this.scenario.classes.find(
       rule => rule.id === stream.requestClass,
     );
     if (!router || !rules) {
       throw new Error(`The scenario has no class ${stream.requestClass}.`);
     }
-    this.#watchPatience(router, call);
-    this.#events.after(this.scenario.callerMs, () => {
+    this.#scheduleDeparture(router, call);
+    this.#events.after(this.scenario.callerLatencyMs, () => {
       router.submit({
         id: brand<RequestId>(id),
         organisation: brand<OrganisationId>(stream.organisation),
@@ -175,23 +182,27 @@
     });
   }
 
-  #watchPatience(router: Router, call: CallRecord): void {
-    const { stream, leavesAfterMs } = call.arrival;
+  /**
+   * Schedules the times at which the caller disconnects if the call is still
+   * open.
+   */
+  #scheduleDeparture(router: Router, call: CallRecord): void {
+    const { stream, withdrawsAfterMs } = call.arrival;
     const leave = (kind: 'left' | 'withdrawn'): void => {
       if (call.state === 'open') {
-        this.#ledger.end(call, { kind, tokens: call.tokens });
+        this.#tracker.end(call, { kind, tokens: call.tokens });
         router.onCallerLeft(brand<RequestId>(call.arrival.id));
       }
     };
-    if (leavesAfterMs < stream.patienceMs) {
-      this.#events.after(leavesAfterMs, () => {
+    if (withdrawsAfterMs < stream.patienceMs) {
+      this.#events.after(withdrawsAfterMs, () => {
         leave('withdrawn');
       });
     }
     this.#events.after(stream.patienceMs, () => {
       leave('left');
     });
-    this.#events.after(stream.firstPatienceMs, () => {
+    this.#events.after(stream.firstTokenTimeoutMs, () => {
       if (call.tokens === 0) {
         leave('left');
       }
@@ -199,11 +210,11 @@
   }
 
   #dispatch(router: Router, record: RequestRecord, attempt: Attempt): void {
-    const call = this.#ledger.find(record.request.id);
+    const call = this.#tracker.find(record.request.id);
     if (!call) {
       return;
     }
-    this.#events.after(this.scenario.networkMs, () => {
+    this.#events.after(this.scenario.backendLatencyMs, () => {
       if (record.request.target.kind === 'engine') {
         this.#startSequence(router, record, attempt, call);
         return;
@@ -226,7 +237,7 @@
     if (!engine || !isCurrent) {
       return;
     }
-    const { networkMs, callerMs } = this.scenario;
+    const { backendLatencyMs, callerLatencyMs } = this.scenario;
     const accepted = engine.submit(
       {
         id: `${id}/${attempt.number}`,
@@ -234,17 +245,17 @@
         prefixHash: arrival.prefixHash,
         prefixTokens: arrival.stream.prefixTokens,
         outputTokens: Math.max(1, arrival.outputTokens - attempt.resumeFrom),
-        priority: this.arm.usePriorities ? record.rules.tier : SAME_PRIORITY,
+        priority: this.arm.usePriorities ? record.rules.tier : DEFAULT_PRIORITY,
       },
       {
         onToken: () => {
           if (router.onTokens(id, attempt.number, 1)) {
-            this.#ledger.onToken(call, this.#events.nowMs + callerMs);
+            this.#tracker.onToken(call, this.#events.nowMs + callerLatencyMs);
           }
         },
         onFinished: () => {
           if (router.onFinished(id, attempt.number)) {
-            this.#ledger.whole(call);
+            this.#tracker.whole(call);
           }
         },
         onLost: () => {
@@ -256,7 +267,7 @@
       },
     );
     if (!accepted) {
-      this.#events.after(networkMs, () => {
+      this.#events.after(backendLatencyMs, () => {
         router.onFailed(id, attempt.number, { ran: 'no', reason: 'refused' });
       });
     }
@@ -270,14 +281,14 @@
   ): void {
     const { id } = record.request;
     const service = this.#fleet.service(attempt.backendServer);
-    this.#ledger.promises.onServiceStart(call);
+    this.#tracker.guarantees.onServiceStart(call);
     service?.submit(call.arrival.serviceMs, () => {
-      this.#events.after(this.scenario.networkMs, () => {
+      this.#events.after(this.scenario.backendLatencyMs, () => {
         if (router.onTokens(id, attempt.number, 1)) {
-          const atMs = this.#events.nowMs + this.scenario.callerMs;
-          this.#ledger.onToken(call, atMs);
+          const atMs = this.#events.nowMs + this.scenario.callerLatencyMs;
+          this.#tracker.onToken(call, atMs);
           router.onFinished(id, attempt.number);
-          this.#ledger.whole(call);
+          this.#tracker.whole(call);
         }
       });
     });
@@ -287,11 +298,11 @@
 /**
  * Runs one arm on the calls of a scenario.
  *
- * @param scenario - deployment, streams and faults
- * @param arm - the way of deciding
- * @param seed - for the arm's own random choices
- * @param arrivals - calls, the same for every arm
- * @returns results by class and broken promises
+ * @param scenario - deployment and faults
+ * @param arm - router policies and options
+ * @param seed - seed of the routers' random choices
+ * @param arrivals - calls of the scenario, the same for all arms
+ * @returns results by request class and violated guarantees
  */
 export function runArm(
   scenario: Scenario,
--- a/packages/bench/src/simulation/scaleScenario.ts
+++ b/packages/bench/src/simulation/scaleScenario.ts
@@ -1,6 +1,8 @@
 import type { Scenario, SimStream } from './Scenario.js';
 
-/** Changes the streams of a scenario. */
+/**
+ * Returns the scenario with each stream replaced by the result of a function.
+ */
 export function mapStreams(
   scenario: Scenario,
   change: (stream: SimStream) => SimStream,
@@ -8,35 +10,37 @@
   return { ...scenario, streams: scenario.streams.map(change) };
 }
 
-/** Tier of the class that a stream belongs to. */
+/** Tier of the request class of a stream; 1 if the class is not declared. */
 export function tierOfStream(scenario: Scenario, stream: SimStream): number {
   const rules = scenario.classes.find(({ id }) => id === stream.requestClass);
   return rules?.tier ?? 1;
 }
 
-const engineTokens = ({ requestsPerSecond, meanTokens }: SimStream): number =>
-  requestsPerSecond * meanTokens;
+const demandTokensPerSecond = ({
+  requestsPerSecond,
+  meanTokens,
+}: SimStream): number => requestsPerSecond * meanTokens;
 
 /**
- * Scales the engine streams below tier 1 so that together they ask for a
+ * Scales the engine streams below tier 1 so that their total token demand is a
  * multiple of the engines' token capacity.
  *
- * @param scenario - the scenario
- * @param capacityTokens - tokens a second that the engines can generate
- * @param multiple - demand of the lower tiers over the capacity
+ * @param scenario - scenario to change
+ * @param capacityTokensPerSecond - token capacity of all engines
+ * @param demandOverCapacity - ratio of the demand to the capacity
  * @returns the scenario with scaled streams
  */
 export function overloadLowerTiers(
   scenario: Scenario,
-  capacityTokens: number,
-  multiple: number,
+  capacityTokensPerSecond: number,
+  demandOverCapacity: number,
 ): Scenario {
   const isLower = (stream: SimStream): boolean =>
     stream.target === 'engine' && tierOfStream(scenario, stream) > 1;
-  const present = scenario.streams
+  const currentDemand = scenario.streams
     .filter(isLower)
-    .reduce((sum, stream) => sum + engineTokens(stream), 0);
-  const factor = (capacityTokens * multiple) / present;
+    .reduce((sum, stream) => sum + demandTokensPerSecond(stream), 0);
+  const factor = (capacityTokensPerSecond * demandOverCapacity) / currentDemand;
   return mapStreams(scenario, stream =>
     isLower(stream)
       ? { ...stream, requestsPerSecond: stream.requestsPerSecond * factor }
--- a/packages/bench/src/simulation/trosakKuhinje.ts
+++ b/packages/bench/src/simulation/trosakKuhinje.ts
@@ -1,8 +1,11 @@
-import type { DeploymentSize } from './scenarioOf.js';
-import { scenarioOf, SERVICE_CALL } from './scenarioOf.js';
+import type { DeploymentSize } from './createScenario.js';
+import { createScenario, SERVICE_CLASS_DEFAULTS } from './createScenario.js';
 import type { Scenario } from './Scenario.js';
 
-/** Trosak Kuhinje: food cost for restaurants; 8 engines and 3 services. */
+/**
+ * Normal load of Trosak Kuhinje, which calculates food costs for restaurants: 8
+ * engines and 3 services.
+ */
 export function trosakKuhinje(): Scenario {
   const size: DeploymentSize = {
     name: 'trosak',
@@ -10,9 +13,9 @@
     engines: 8,
     services: 3,
     failureDomains: ['split-a', 'split-b', 'solin'],
-    callerMs: 1,
+    callerLatencyMs: 1,
   };
-  return scenarioOf(size, [
+  return createScenario(size, [
     {
       id: 'recipe-costing',
       tier: 1,
@@ -44,7 +47,7 @@
       patienceMs: 45_000,
     },
     {
-      ...SERVICE_CALL,
+      ...SERVICE_CLASS_DEFAULTS,
       id: 'menu-price-check',
       tier: 2,
       idempotent: false,
@@ -53,7 +56,7 @@
       load: 200,
     },
     {
-      ...SERVICE_CALL,
+      ...SERVICE_CLASS_DEFAULTS,
       id: 'stock-snapshot',
       tier: 3,
       idempotent: true,
