--- a/packages/bench/src/report/ClassResult.ts
+++ b/packages/bench/src/report/ClassResult.ts
@@ -1,22 +1,29 @@
-/** How one request class fared. */
+/** Results of one request class. */
 export interface ClassResult {
   readonly name: string;
   readonly tier: number;
+  /** Requests sent. */
   readonly sent: number;
+  /** Requests answered completely. */
   readonly whole: number;
   readonly refused: number;
-  /** Callers that went away of their own accord, in the middle or before. */
+  /**
+   * Requests whose caller disconnected by choice, before or during the answer.
+   */
   readonly withdrawn: number;
-  /** Share of sent and not withdrawn requests answered whole within both targets. */
+  /**
+   * Share of the requests, without the withdrawn ones, answered completely
+   * within both latency targets.
+   */
   readonly attainment: number;
-  /** Whole answers whose first token came late. */
+  /** Complete answers that missed the target for the first token. */
   readonly lateFirst: number;
-  /** Whole answers whose tokens came too slowly. */
+  /** Complete answers that missed the target for the time between tokens. */
   readonly slowBetween: number;
-  /** Tokens a second of answers that met their targets. */
+  /** Tokens per second of complete answers that met both targets. */
   readonly goodput: number;
-  /** Tokens that reached callers of answers that never became whole. */
+  /** Tokens delivered as part of answers that were not completed. */
   readonly wastedTokens: number;
-  /** Longest time to first token of a whole answer. */
+  /** Longest time to the first token among the complete answers. */
   readonly maxWaitMs: number;
 }
--- a/packages/bench/src/report/ClassTally.ts
+++ b/packages/bench/src/report/ClassTally.ts
@@ -1,21 +1,24 @@
 import type { ClassResult } from './ClassResult.js';
 
-/** How one request ended, as its caller saw it. */
+/** Outcome of one request, as observed by its caller. */
 export type Outcome =
   | { readonly kind: 'broken'; readonly tokens: number }
   | { readonly kind: 'left'; readonly tokens: number }
   | { readonly kind: 'refused'; readonly tokens: number }
-  /** The caller went away of its own accord; no policy could have met it. */
+  /**
+   * The caller disconnected by choice, so the request does not count towards
+   * attainment.
+   */
   | { readonly kind: 'withdrawn'; readonly tokens: number }
   | {
       readonly kind: 'whole';
       readonly tokens: number;
       readonly firstTokenMs: number;
-      /** Mean time between tokens; 0 for fewer than two. */
+      /** Mean time between tokens; 0 if there are fewer than two tokens. */
       readonly betweenTokensMs: number;
     };
 
-/** What a class promises its callers. */
+/** Tier and latency targets of a request class. */
 export interface ClassTargets {
   readonly name: string;
   readonly tier: number;
@@ -23,21 +26,22 @@
   readonly betweenTokensTargetMs: number;
 }
 
-/** Adds up the outcomes of one class. */
+/** Accumulates the outcomes of the requests of one class. */
 export class ClassTally {
   #sent = 0;
   #withdrawn = 0;
   #whole = 0;
   #refused = 0;
-  #met = 0;
+  #withinTargets = 0;
   #lateFirst = 0;
   #slowBetween = 0;
-  #goodTokens = 0;
+  #tokensWithinTargets = 0;
   #wastedTokens = 0;
   #maxWaitMs = 0;
 
   constructor(private readonly targets: ClassTargets) {}
 
+  /** Counts one outcome. */
   add(outcome: Outcome): void {
     this.#sent += 1;
     if (outcome.kind !== 'whole') {
@@ -53,14 +57,19 @@
     this.#lateFirst += late ? 1 : 0;
     this.#slowBetween += slow ? 1 : 0;
     if (!late && !slow) {
-      this.#met += 1;
-      this.#goodTokens += outcome.tokens;
+      this.#withinTargets += 1;
+      this.#tokensWithinTargets += outcome.tokens;
     }
   }
 
+  /**
+   * Returns the totals so far.
+   *
+   * @param seconds - length of the load, for the goodput
+   */
   result(seconds: number): ClassResult {
     const { name, tier } = this.targets;
-    const judged = this.#sent - this.#withdrawn;
+    const counted = this.#sent - this.#withdrawn;
     return {
       name,
       tier,
@@ -68,10 +77,10 @@
       whole: this.#whole,
       refused: this.#refused,
       withdrawn: this.#withdrawn,
-      attainment: judged === 0 ? 1 : this.#met / judged,
+      attainment: counted === 0 ? 1 : this.#withinTargets / counted,
       lateFirst: this.#lateFirst,
       slowBetween: this.#slowBetween,
-      goodput: this.#goodTokens / seconds,
+      goodput: this.#tokensWithinTargets / seconds,
       wastedTokens: this.#wastedTokens,
       maxWaitMs: this.#maxWaitMs,
     };
--- a/packages/bench/src/report/callFigures.ts
+++ b/packages/bench/src/report/callFigures.ts
@@ -2,7 +2,7 @@
 
 import type { FinishedCall } from '../load/LoadRunner.js';
 
-/** Figures of a load for programs. */
+/** Totals and first-token quantiles of a load, for machine-readable output. */
 export interface CallFigures {
   readonly calls: number;
   readonly whole: number;
@@ -12,26 +12,27 @@
 }
 
 const MEDIAN = 0.5;
-const HIGH = 0.95;
+const P95 = 0.95;
 
 /**
- * Adds up what callers saw.
+ * Summarises finished calls in numbers.
  *
  * @param calls - finished calls
- * @returns counts and first-token quantiles; 0 where no answer was whole
+ * @returns counts and first-token quantiles; the quantiles are 0 if no answer
+ *   was complete
  */
 export function callFigures(calls: readonly FinishedCall[]): CallFigures {
   const whole = calls
     .map(({ answer }) => answer.outcome)
     .filter(outcome => outcome.kind === 'whole');
-  const waits = whole.map(({ firstTokenMs }) => firstTokenMs);
-  const at = (share: number): number =>
-    waits.length === 0 ? 0 : quantile(waits, share);
+  const firstTokenTimesMs = whole.map(({ firstTokenMs }) => firstTokenMs);
+  const quantileAt = (share: number): number =>
+    firstTokenTimesMs.length === 0 ? 0 : quantile(firstTokenTimesMs, share);
   return {
     calls: calls.length,
     whole: whole.length,
     tokens: whole.reduce((sum, { tokens }) => sum + tokens, 0),
-    firstTokenP50Ms: at(MEDIAN),
-    firstTokenP95Ms: at(HIGH),
+    firstTokenP50Ms: quantileAt(MEDIAN),
+    firstTokenP95Ms: quantileAt(P95),
   };
 }
--- a/packages/bench/src/report/classTable.ts
+++ b/packages/bench/src/report/classTable.ts
@@ -5,10 +5,10 @@
 const SHARE_DIGITS = 3;
 
 /**
- * Draws results as a table for a terminal.
+ * Formats the results by request class as a table for the terminal.
  *
- * @param classes - results, one a row
- * @returns the table, highest tier first
+ * @param classes - results, one for each row
+ * @returns the table, sorted by tier number and then by class name
  */
 export function classTable(classes: readonly ClassResult[]): string {
   const table = new Table({
--- a/packages/bench/src/report/experimentTable.ts
+++ b/packages/bench/src/report/experimentTable.ts
@@ -6,9 +6,10 @@
 const WASTE_DIGITS = 4;
 
 /**
- * Draws an experiment for a terminal: one row an arm, attainment by class.
+ * Formats an experiment as a table for the terminal: one row for each arm, and
+ * the attainment and longest wait for each request class.
  *
- * @param result - the experiment
+ * @param result - result of the experiment
  * @returns the table
  */
 export function experimentTable(result: ExperimentResult): string {
--- a/packages/bench/src/report/summarizeCalls.ts
+++ b/packages/bench/src/report/summarizeCalls.ts
@@ -4,10 +4,11 @@
 import { callFigures } from './callFigures.js';
 
 /**
- * Draws what callers saw, without knowing the declared targets.
+ * Formats finished calls as a table for the terminal. Needs no deployment, so
+ * it shows first-token quantiles instead of the attainment of targets.
  *
  * @param calls - finished calls
- * @returns a table by class
+ * @returns the table, one row for each request class
  */
 export function summarizeCalls(calls: readonly FinishedCall[]): string {
   const table = new Table({
@@ -16,16 +17,16 @@
   });
   const classes = [...new Set(calls.map(call => call.stream.requestClass))];
   classes.sort().forEach(name => {
-    const own = calls.filter(call => call.stream.requestClass === name);
-    const outcomes = own.map(({ answer }) => answer.outcome);
+    const classCalls = calls.filter(call => call.stream.requestClass === name);
+    const outcomes = classCalls.map(({ answer }) => answer.outcome);
     const refused = outcomes.filter(({ kind }) => kind === 'refused').length;
-    const { whole, firstTokenP50Ms, firstTokenP95Ms } = callFigures(own);
+    const { whole, firstTokenP50Ms, firstTokenP95Ms } = callFigures(classCalls);
     table.push([
       name,
-      own.length,
+      classCalls.length,
       whole,
       refused,
-      own.length - whole - refused,
+      classCalls.length - whole - refused,
       firstTokenP50Ms.toFixed(0),
       firstTokenP95Ms.toFixed(0),
     ]);
--- a/packages/bench/src/report/tallyCalls.ts
+++ b/packages/bench/src/report/tallyCalls.ts
@@ -5,12 +5,12 @@
 import { ClassTally } from './ClassTally.js';
 
 /**
- * Adds up finished calls by class.
+ * Computes the results by request class from finished calls.
  *
- * @param calls - the calls
- * @param classes - declared classes, for tiers and targets
+ * @param calls - finished calls
+ * @param classes - declared request classes, with their tiers and targets
  * @param seconds - length of the load
- * @returns one result a class
+ * @returns one result for each class
  */
 export function tallyCalls(
   calls: readonly FinishedCall[],
