--- a/packages/bench/src/demo/LocalFleet.ts
+++ b/packages/bench/src/demo/LocalFleet.ts
@@ -22,35 +22,46 @@
 
 import type { DemoServers } from './demoDeployment.js';
 
-/** How many of each a local fleet has. */
+/** Number of servers of each kind in a local fleet, and their settings. */
 export interface FleetSize {
   readonly instances: number;
   readonly engines: number;
   readonly services: number;
-  /** Settings of every engine's model that differ from the defaults. */
+  /** Engine model settings that replace the defaults, for every engine. */
   readonly engineModel?: Readonly<Record<string, number>>;
+  /**
+   * Delay until a change of the platform's instance list is visible; 500 ms by
+   * default.
+   */
   readonly instanceListLagMs?: number;
 }
 
 const LOOPBACK = { host: '127.0.0.1', port: 0 };
-const DOMAINS = ['split-a', 'split-b', 'solin'] as const;
-const POLL_MS = 50;
+const FAILURE_DOMAINS = ['split-a', 'split-b', 'solin'] as const;
+const POLL_INTERVAL_MS = 50;
 const IN_FORCE_TIMEOUT_MS = 10_000;
 
+/** Operator token that every instance of a local fleet accepts. */
 export const FLEET_TOKEN = 'local-fleet-token';
 
-const domainOf = (index: number): string =>
-  DOMAINS[index % DOMAINS.length] ?? DOMAINS[0];
+/** Assigns failure domains round-robin. */
+const failureDomainOf = (index: number): string =>
+  FAILURE_DOMAINS[index % FAILURE_DOMAINS.length] ?? FAILURE_DOMAINS[0];
 
-type RawSettings<K> = Readonly<Record<string, unknown>> & { readonly kind: K };
+type UnparsedSettings<K> = Readonly<Record<string, unknown>> & {
+  readonly kind: K;
+};
 
-function settingsOf<K extends SettingsKind>(
-  raw: RawSettings<K>,
+function parseSettings<K extends SettingsKind>(
+  raw: UnparsedSettings<K>,
 ): SettingsOf<K> {
   return settingsSchema.parse(raw) as SettingsOf<K>;
 }
 
-/** Platform, engines, services and instances in one process on loopback. */
+/**
+ * Platform, engines, services and instances, all in one process on the loopback
+ * interface.
+ */
 export class LocalFleet {
   readonly engines: RunningServer[] = [];
   readonly services: RunningServer[] = [];
@@ -59,10 +70,12 @@
 
   constructor(private readonly log: EventLog = SILENT_LOG) {}
 
+  /** Base URL of the platform stand-in; throws before `start`. */
   get platformUrl(): string {
     return assertDefined(this.#platform, 'the fleet was started').url;
   }
 
+  /** Base URLs of the engines and services. */
   get servers(): DemoServers {
     return {
       engines: this.engines.map(({ url }) => url),
@@ -70,13 +83,17 @@
     };
   }
 
+  /** Base URLs that callers send requests to, one per instance. */
   get callerUrls(): readonly string[] {
     return this.instances.map(({ callerUrl }) => callerUrl);
   }
 
+  /**
+   * Starts the platform, the backend servers and then the instances one by one.
+   */
   async start(size: FleetSize): Promise<void> {
     this.#platform = await startPlatform(
-      settingsOf({
+      parseSettings({
         kind: 'platform',
         listen: LOOPBACK,
         instanceListLagMs: size.instanceListLagMs ?? 500,
@@ -88,19 +105,20 @@
     }
   }
 
-  /** Starts one more instance and puts it on the platform's list. */
+  /** Starts one more instance and adds it to the platform's instance list. */
   async addInstance(index: number): Promise<RunningInstance> {
     const running = await startInstance(this.settingsFor(index), this.log);
     this.instances.push(running);
-    await this.publishInstances();
+    await this.publishInstanceList();
     return running;
   }
 
+  /** Settings of the instance with a given index, on free ports. */
   settingsFor(index: number): InstanceSettings {
-    return settingsOf({
+    return parseSettings({
       kind: 'instance',
       instance: `entry-${index + 1}`,
-      failureDomain: domainOf(index),
+      failureDomain: failureDomainOf(index),
       callers: LOOPBACK,
       control: LOOPBACK,
       platformUrl: this.platformUrl,
@@ -113,8 +131,8 @@
     });
   }
 
-  /** Tells the platform stand-in which instances exist. */
-  async publishInstances(): Promise<void> {
+  /** Sets the platform's instance list to the instances of this fleet. */
+  async publishInstanceList(): Promise<void> {
     const listed = this.instances.map(({ context }) => ({
       id: context.settings.instance,
       failureDomain: context.settings.failureDomain,
@@ -125,11 +143,12 @@
     await this.control(this.platformUrl, 'PUT', '/control/instances', listed);
   }
 
-  /** Sets fault switches of any stand-in. */
+  /** Sets fault switches of the stand-in at a URL. */
   async setFaults(url: string, faults: object): Promise<void> {
     await this.control(url, 'POST', '/control/faults', faults);
   }
 
+  /** Sends a JSON body to a control endpoint and discards the reply. */
   async control(
     url: string,
     method: 'POST' | 'PUT',
@@ -144,12 +163,13 @@
     await res.body.dump();
   }
 
+  /** Reads JSON from an endpoint of a stand-in. */
   async read(url: string, path: string): Promise<unknown> {
     const res = await request(`${url}${path}`);
     return res.body.json();
   }
 
-  /** Declares a deployment and waits until it is in force everywhere. */
+  /** Declares a deployment and waits until it is in force on every instance. */
   async apply(deployment: Deployment): Promise<void> {
     const connection = this.operator(0);
     const revision = await applyDeployment(connection, deployment);
@@ -157,21 +177,29 @@
     await this.whenInForce(revision);
   }
 
+  /** Opens an operator connection to the instance with a given index. */
   operator(index: number): OperatorConnection {
     const instance = assertDefined(this.instances[index], 'a started instance');
     return new OperatorConnection(instance.controlAddress, FLEET_TOKEN);
   }
 
+  /**
+   * Waits until every instance has applied a revision or a later one.
+   *
+   * @param revision - configuration revision
+   * @throws Error if an instance has not applied it within 10 s
+   */
   async whenInForce(revision: number): Promise<void> {
-    const deadline = Date.now() + IN_FORCE_TIMEOUT_MS;
-    while (!this.#inForce(revision)) {
-      if (Date.now() > deadline) {
+    const deadlineMs = Date.now() + IN_FORCE_TIMEOUT_MS;
+    while (!this.#isInForce(revision)) {
+      if (Date.now() > deadlineMs) {
         throw new Error(`Revision ${revision} is not in force everywhere.`);
       }
-      await new Promise(resolve => setTimeout(resolve, POLL_MS));
+      await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
     }
   }
 
+  /** Kills the instances, then stops all stand-ins. */
   async stop(): Promise<void> {
     await Promise.all(this.instances.map(instance => instance.kill()));
     await Promise.all(
@@ -180,7 +208,7 @@
     await this.#platform?.stop();
   }
 
-  #inForce(revision: number): boolean {
+  #isInForce(revision: number): boolean {
     return this.instances.every(
       ({ context }) => context.host.configuration.revision >= revision,
     );
@@ -188,7 +216,7 @@
 
   async #startServers(size: FleetSize): Promise<void> {
     for (let index = 0; index < size.engines; index += 1) {
-      const settings = settingsOf({
+      const settings = parseSettings({
         kind: 'engine',
         id: `engine-${index + 1}`,
         listen: LOOPBACK,
@@ -199,7 +227,7 @@
       this.engines.push(await startEngine(settings));
     }
     for (let index = 0; index < size.services; index += 1) {
-      const settings = settingsOf({
+      const settings = parseSettings({
         kind: 'service',
         id: `stock-${index + 1}`,
         listen: LOOPBACK,
--- a/packages/bench/src/demo/demoDeployment.ts
+++ b/packages/bench/src/demo/demoDeployment.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto';
 import type { Deployment, LoadSettings } from '@jujubecroft/settings';
 
-/** Base URLs of the stand-ins that a demo runs against. */
+/** Base URLs of the backend servers that the demo deployment declares. */
 export interface DemoServers {
   readonly engines: readonly string[];
   readonly services: readonly string[];
@@ -11,32 +11,40 @@
 const SERVICE = 'stock';
 const ENGINE_CAPACITY = 24;
 const SERVICE_CAPACITY = 16;
-const DOMAINS = ['split-a', 'split-b', 'solin'] as const;
+const FAILURE_DOMAINS = ['split-a', 'split-b', 'solin'] as const;
 
+/** Caller key of an organisation. */
 export const keyOf = (organisation: string): string => `key-of-${organisation}`;
 
-/** SHA-256 in hexadecimal, as settings and declarations hold secrets. */
+/**
+ * Hexadecimal SHA-256, the form in which settings and declarations hold
+ * secrets.
+ */
 export const sha256 = (text: string): string =>
   createHash('sha256').update(text).digest('hex');
 
-const domainOf = (index: number): string =>
-  DOMAINS[index % DOMAINS.length] ?? DOMAINS[0];
+/** Assigns failure domains round-robin. */
+const failureDomainOf = (index: number): string =>
+  FAILURE_DOMAINS[index % FAILURE_DOMAINS.length] ?? FAILURE_DOMAINS[0];
 
-const organisation = (id: string, weight: number) => ({
+const declareOrganisation = (id: string, weight: number) => ({
   id,
   keySha256: sha256(keyOf(id)),
   weight,
   limits: { requestsPerSecond: 200, tokensPerSecond: 50_000 },
 });
 
-/** Declared entities of the demo: four classes in four tiers. */
+/**
+ * Deployment of the demo: three organisations, and one request class in each of
+ * four tiers.
+ */
 export function demoDeployment(servers: DemoServers): Deployment {
   return {
     kind: 'deployment',
     organisations: [
-      organisation('konoba-mir', 1),
-      organisation('hotel-riva', 2),
-      organisation('pekara-zora', 1),
+      declareOrganisation('konoba-mir', 1),
+      declareOrganisation('hotel-riva', 2),
+      declareOrganisation('pekara-zora', 1),
     ],
     modelVersions: [{ id: MODEL, version: '1' }],
     requestClasses: [
@@ -85,7 +93,7 @@
       ...servers.engines.map((url, index) => ({
         id: `engine-${index + 1}`,
         url,
-        failureDomain: domainOf(index),
+        failureDomain: failureDomainOf(index),
         models: [MODEL],
         services: [],
         capacity: ENGINE_CAPACITY,
@@ -95,7 +103,7 @@
       ...servers.services.map((url, index) => ({
         id: `stock-${index + 1}`,
         url,
-        failureDomain: domainOf(index),
+        failureDomain: failureDomainOf(index),
         models: [],
         services: [SERVICE],
         capacity: SERVICE_CAPACITY,
@@ -106,7 +114,15 @@
   };
 }
 
-/** Mixed load with a burst of supplier lookups in the middle. */
+/**
+ * Load of the demo: requests of all classes, and a burst of supplier lookups
+ * during the second quarter.
+ *
+ * @param entryUrls - base URLs of the instances
+ * @param seconds - length of the load
+ * @param seed - seed of the random arrivals
+ * @returns settings for the load generator
+ */
 export function demoLoad(
   entryUrls: readonly string[],
   seconds: number,
--- a/packages/bench/src/demo/findGuaranteeViolations.ts
+++ b/packages/bench/src/demo/findGuaranteeViolations.ts
@@ -1,9 +1,9 @@
 import type { FinishedCall } from '../load/LoadRunner.js';
 
-/** How often each idempotency key ran at the plain services. */
+/** Number of runs on the plain services for each idempotency key. */
 export type RunCounts = ReadonlyMap<string, number>;
 
-function wrongAnswers(calls: readonly FinishedCall[]): readonly string[] {
+function faultyAnswers(calls: readonly FinishedCall[]): readonly string[] {
   return calls
     .filter(({ answer }) => answer.fault !== null)
     .map(
@@ -12,7 +12,7 @@
     );
 }
 
-function ranThoughNotRun(
+function ranDespiteNotRunReply(
   calls: readonly FinishedCall[],
   runs: RunCounts,
 ): readonly string[] {
@@ -26,44 +26,46 @@
     .map(({ idempotencyKey }) => `${idempotencyKey}: told "not run" but ran`);
 }
 
-function ranTwice(runs: RunCounts): readonly string[] {
+function ranMoreThanOnce(runs: RunCounts): readonly string[] {
   return [...runs]
     .filter(([, count]) => count > 1)
     .map(([key, count]) => `${key}: non-idempotent but ran ${count} times`);
 }
 
-/** Result code of an answer that broke off after its first tokens. */
-const STREAM_CUT = 3003;
+/** Result code of an answer that was interrupted after its first token. */
+const STREAM_CUT_CODE = 3003;
 
-function cutHighestTier(
+function cutTierOneStreams(
   calls: readonly FinishedCall[],
   tierOf: (requestClass: string) => number,
 ): readonly string[] {
   return calls
     .filter(
       ({ stream, answer }) =>
-        tierOf(stream.requestClass) === 1 && answer.code === STREAM_CUT,
+        tierOf(stream.requestClass) === 1 && answer.code === STREAM_CUT_CODE,
     )
     .map(({ idempotencyKey }) => `${idempotencyKey}: a tier-1 stream was cut`);
 }
 
 /**
- * Holds what callers saw against what must always hold.
+ * Checks what callers observed against the guarantees of the system: answers
+ * without faults, no run after a "not run" reply, at most one run for each
+ * idempotency key, and no interrupted stream in tier 1.
  *
- * @param calls - every finished call
+ * @param calls - all finished calls
  * @param runs - runs counted by the plain services
- * @param tierOf - tier of a class
- * @returns one line for each broken promise
+ * @param tierOf - returns the tier of a request class
+ * @returns one line for each violation
  */
-export function findBrokenPromises(
+export function findGuaranteeViolations(
   calls: readonly FinishedCall[],
   runs: RunCounts,
   tierOf: (requestClass: string) => number,
 ): readonly string[] {
   return [
-    ...wrongAnswers(calls),
-    ...ranThoughNotRun(calls, runs),
-    ...ranTwice(runs),
-    ...cutHighestTier(calls, tierOf),
+    ...faultyAnswers(calls),
+    ...ranDespiteNotRunReply(calls, runs),
+    ...ranMoreThanOnce(runs),
+    ...cutTierOneStreams(calls, tierOf),
   ];
 }
--- a/packages/bench/src/demo/runDemo.ts
+++ b/packages/bench/src/demo/runDemo.ts
@@ -5,46 +5,53 @@
 import type { ClassResult } from '../report/ClassResult.js';
 import { tallyCalls } from '../report/tallyCalls.js';
 import { demoDeployment, demoLoad } from './demoDeployment.js';
-import { findBrokenPromises } from './findBrokenPromises.js';
+import { findGuaranteeViolations } from './findGuaranteeViolations.js';
 import { LocalFleet } from './LocalFleet.js';
 
-/** Size and length of a demo. */
+/** Options of a demo run. */
 export interface DemoOptions {
+  /** Length of the load. */
   readonly seconds: number;
   readonly seed: number;
-  /** Told what happens, for a person to read. */
+  /** Called with progress messages for the user. */
   readonly say: (line: string) => void;
 }
 
-/** What a demo brought. */
+/** Result of a demo run. */
 export interface DemoResult {
   readonly classes: readonly ClassResult[];
+  /** Violated guarantees, one line each. */
   readonly brokenPromises: readonly string[];
-  /** Share of generated tokens that never became part of a whole answer. */
+  /** Share of generated tokens that are not part of a complete answer. */
   readonly wastedWork: number;
 }
 
-/** Small engines, so that the burst asks for more than they can do. */
-const SIZE = {
+/**
+ * The batch size and step times are chosen so that the burst exceeds the
+ * engines' capacity.
+ */
+const FLEET_SIZE = {
   instances: 3,
   engines: 4,
   services: 2,
   engineModel: { maxBatch: 48, stepBaseMs: 15, stepPerSequenceMs: 2.5 },
 };
-const CRASH_AT = 0.6;
-const BACK_AT = 0.8;
+const CRASH_AT_SHARE = 0.6;
+const RESTORE_AT_SHARE = 0.8;
 const MS_PER_SECOND = 1000;
 
 const runsSchema = z.record(z.string(), z.number());
 const countsSchema = z.object({ generatedTokens: z.number() });
 
-/** Crashes one engine for a while in the middle of the load. */
+/**
+ * Schedules a crash of engine 1 at 60 % of the run and its restoration at 80 %.
+ */
 function scheduleCrash(
   fleet: LocalFleet,
   options: DemoOptions,
 ): readonly NodeJS.Timeout[] {
   const [victim] = fleet.engines;
-  const at = (share: number, crashed: boolean): NodeJS.Timeout =>
+  const setCrashedAt = (share: number, crashed: boolean): NodeJS.Timeout =>
     setTimeout(
       () => {
         options.say(crashed ? 'engine-1 crashes' : 'engine-1 is back');
@@ -54,10 +61,13 @@
       },
       share * options.seconds * MS_PER_SECOND,
     );
-  return [at(CRASH_AT, true), at(BACK_AT, false)];
+  return [
+    setCrashedAt(CRASH_AT_SHARE, true),
+    setCrashedAt(RESTORE_AT_SHARE, false),
+  ];
 }
 
-async function countRuns(fleet: LocalFleet): Promise<Map<string, number>> {
+async function countRunsByKey(fleet: LocalFleet): Promise<Map<string, number>> {
   const perService = await Promise.all(
     fleet.services.map(async ({ url }) =>
       runsSchema.parse(await fleet.read(url, '/control/runs')),
@@ -72,7 +82,7 @@
   return total;
 }
 
-async function countGenerated(fleet: LocalFleet): Promise<number> {
+async function countGeneratedTokens(fleet: LocalFleet): Promise<number> {
   const counts = await Promise.all(
     fleet.engines.map(async ({ url }) =>
       countsSchema.parse(await fleet.read(url, '/control/counts')),
@@ -81,7 +91,7 @@
   return counts.reduce((sum, { generatedTokens }) => sum + generatedTokens, 0);
 }
 
-function wholeTokens(calls: readonly FinishedCall[]): number {
+function countCompletedTokens(calls: readonly FinishedCall[]): number {
   return calls
     .filter(({ stream }) => 'model' in stream.target)
     .reduce(
@@ -94,26 +104,26 @@
 /**
  * Runs a small fleet in one process through a burst and an engine crash.
  *
- * @param options - length, seed and where to tell about it
- * @returns results by class and every broken promise
+ * @param options - length, seed and progress callback
+ * @returns results by request class, violated guarantees and wasted work
  */
 export async function runDemo(options: DemoOptions): Promise<DemoResult> {
   const fleet = new LocalFleet();
   try {
-    return await runOn(fleet, options);
+    return await runOnFleet(fleet, options);
   } finally {
     await fleet.stop();
   }
 }
 
-async function runOn(
+async function runOnFleet(
   fleet: LocalFleet,
   options: DemoOptions,
 ): Promise<DemoResult> {
   options.say(
-    `starting ${SIZE.instances} instances, ${SIZE.engines} engines, ${SIZE.services} plain services and a platform`,
+    `starting ${FLEET_SIZE.instances} instances, ${FLEET_SIZE.engines} engines, ${FLEET_SIZE.services} plain services and a platform`,
   );
-  await fleet.start(SIZE);
+  await fleet.start(FLEET_SIZE);
   const deployment = demoDeployment(fleet.servers);
   await fleet.apply(deployment);
   options.say('configuration in force everywhere; load begins');
@@ -126,13 +136,14 @@
   timers.forEach(timer => {
     clearTimeout(timer);
   });
-  const runs = await countRuns(fleet);
-  const generated = await countGenerated(fleet);
+  const runs = await countRunsByKey(fleet);
+  const generated = await countGeneratedTokens(fleet);
   const tierOf = (name: string): number =>
     deployment.requestClasses.find(({ id }) => id === name)?.tier ?? 0;
   return {
     classes: tallyCalls(calls, deployment.requestClasses, options.seconds),
-    brokenPromises: findBrokenPromises(calls, runs, tierOf),
-    wastedWork: generated === 0 ? 0 : 1 - wholeTokens(calls) / generated,
+    brokenPromises: findGuaranteeViolations(calls, runs, tierOf),
+    wastedWork:
+      generated === 0 ? 0 : 1 - countCompletedTokens(calls) / generated,
   };
 }
--- a/packages/bench/src/fleet/LoadedFleet.ts
+++ b/packages/bench/src/fleet/LoadedFleet.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
 
 import { demoDeployment, demoLoad } from '../demo/demoDeployment.js';
-import { findBrokenPromises } from '../demo/findBrokenPromises.js';
+import { findGuaranteeViolations } from '../demo/findGuaranteeViolations.js';
 import type { FleetSize } from '../demo/LocalFleet.js';
 import { LocalFleet } from '../demo/LocalFleet.js';
 import type { FinishedCall } from '../load/LoadRunner.js';
@@ -12,25 +12,29 @@
 const runsSchema = z.record(z.string(), z.number());
 const MS_PER_SECOND = 1000;
 
-/** Pauses for a time. */
 export const wait = (ms: number): Promise<void> =>
   new Promise(resolve => setTimeout(resolve, ms));
 
-/** A local fleet under the demo's load while something happens to it. */
+/**
+ * A local fleet under the load of the demo, for experiments that disturb it.
+ */
 export class LoadedFleet {
   readonly fleet = new LocalFleet();
+  /** Finished calls, in the order in which they ended. */
   readonly calls: FinishedCall[] = [];
 
   constructor(private readonly size: FleetSize) {}
 
   /**
-   * Runs the load and the disturbance side by side.
+   * Starts the fleet, runs the load and the disturbance concurrently, and stops
+   * the fleet.
    *
-   * @param name - of the experiment
-   * @param seed - of the load
+   * @param name - name of the experiment
+   * @param seed - seed of the load
    * @param seconds - length of the load
-   * @param disturb - what happens meanwhile; its figures go into the result
-   * @returns what callers saw and every broken promise
+   * @param disturb - disturbs the fleet; the figures it returns go into the
+   *   result
+   * @returns results by request class, figures and violated guarantees
    */
   async run(
     name: string,
@@ -54,7 +58,7 @@
         seed,
         figures,
         classes: tallyCalls(this.calls, deployment.requestClasses, seconds),
-        brokenPromises: findBrokenPromises(
+        brokenPromises: findGuaranteeViolations(
           this.calls,
           await this.#countRuns(),
           tierOf,
@@ -65,8 +69,11 @@
     }
   }
 
-  /** Calls whose answer was neither whole nor an honest refusal. */
-  get faulty(): readonly FinishedCall[] {
+  /**
+   * Calls whose answer was faulty, that is, neither complete nor correctly
+   * refused.
+   */
+  get faultyCalls(): readonly FinishedCall[] {
     return this.calls.filter(({ answer }) => answer.fault !== null);
   }
 
@@ -84,6 +91,12 @@
   }
 }
 
-/** Part of a run, in milliseconds. */
-export const partOf = (seconds: number, share: number): number =>
+/**
+ * Duration of a share of a run.
+ *
+ * @param seconds - length of the run
+ * @param share - share of the run, from 0 to 1
+ * @returns duration in milliseconds
+ */
+export const shareOfRunMs = (seconds: number, share: number): number =>
   seconds * share * MS_PER_SECOND;
--- a/packages/bench/src/fleet/catalogue.ts
+++ b/packages/bench/src/fleet/catalogue.ts
@@ -6,7 +6,7 @@
 import { rollingReplace } from './rolling-replace.js';
 import { storeOutage } from './store-outage.js';
 
-/** Experiments with figures of their own, most of them over real sockets. */
+/** All experiments that report named figures; most of them use real sockets. */
 export const FLEET_EXPERIMENTS: readonly FleetExperiment[] = [
   configSpread,
   gatewayAblation,
--- a/packages/bench/src/fleet/config-spread.ts
+++ b/packages/bench/src/fleet/config-spread.ts
@@ -6,18 +6,25 @@
 import { LocalFleet } from '../demo/LocalFleet.js';
 import type { FleetExperiment } from './FleetExperiment.js';
 
-const SIZE = { instances: 8, engines: 2, services: 1 };
-const CHANGES = 40;
+const FLEET_SIZE = { instances: 8, engines: 2, services: 1 };
+const CHANGE_COUNT = 40;
 
-/** Commits changes at random instances and times them into force everywhere. */
-async function spreadTimes(
+/**
+ * Commits changes at random instances, one after the other.
+ *
+ * @returns milliseconds from the acceptance of each change until it was in
+ *   force on every instance
+ */
+async function measureSpreadTimes(
   fleet: LocalFleet,
   seed: number,
 ): Promise<readonly number[]> {
   const random = createRandom(seed);
-  const times: number[] = [];
-  for (let index = 0; index < CHANGES; index += 1) {
-    const connection = fleet.operator(Math.floor(random() * SIZE.instances));
+  const timesMs: number[] = [];
+  for (let index = 0; index < CHANGE_COUNT; index += 1) {
+    const connection = fleet.operator(
+      Math.floor(random() * FLEET_SIZE.instances),
+    );
     const { revision } = await connection.drain({
       changeId: randomUUID(),
       backendServer: 'engine-1',
@@ -25,13 +32,15 @@
     });
     const acceptedMs = performance.now();
     await fleet.whenInForce(revision);
-    times.push(performance.now() - acceptedMs);
+    timesMs.push(performance.now() - acceptedMs);
     connection.close();
   }
-  return times;
+  return timesMs;
 }
 
-/** How long an accepted change takes to be in force on every instance. */
+/**
+ * Measures how long an accepted change takes to be in force on every instance.
+ */
 export const configSpread: FleetExperiment = {
   meta: {
     name: 'config-spread',
@@ -41,16 +50,16 @@
   run: async ({ seed }) => {
     const fleet = new LocalFleet();
     try {
-      await fleet.start(SIZE);
+      await fleet.start(FLEET_SIZE);
       await fleet.apply(demoDeployment(fleet.servers));
-      const times = await spreadTimes(fleet, seed);
+      const timesMs = await measureSpreadTimes(fleet, seed);
       return {
         experiment: 'config-spread',
         seed,
         figures: {
-          changes: times.length,
-          medianInForceMs: median([...times]),
-          maxInForceMs: max([...times]),
+          changes: timesMs.length,
+          medianInForceMs: median([...timesMs]),
+          maxInForceMs: max([...timesMs]),
         },
         classes: [],
         brokenPromises: [],
--- a/packages/bench/src/fleet/instance-crash.ts
+++ b/packages/bench/src/fleet/instance-crash.ts
@@ -1,32 +1,37 @@
 import type { LocalFleet } from '../demo/LocalFleet.js';
 import type { FleetExperiment } from './FleetExperiment.js';
-import { LoadedFleet, partOf, wait } from './LoadedFleet.js';
+import { LoadedFleet, shareOfRunMs, wait } from './LoadedFleet.js';
 
-const SIZE = { instances: 4, engines: 4, services: 2 };
-const SECONDS = 16;
-const CRASH_AT = 0.3;
-const POLL_MS = 50;
-const GIVE_UP_MS = 15_000;
+const FLEET_SIZE = { instances: 4, engines: 4, services: 2 };
+const DEFAULT_SECONDS = 16;
+const CRASH_AT_SHARE = 0.3;
+const POLL_INTERVAL_MS = 50;
+const REMOVAL_TIMEOUT_MS = 15_000;
 
-/** Time until no instance names the crashed one in its addresses. */
-async function timeUntilGone(
+/**
+ * Waits until no instance lists the crashed one as a live member, for at most
+ * 15 s.
+ *
+ * @returns waiting time in milliseconds
+ */
+async function measureRemovalMs(
   fleet: LocalFleet,
   crashed: string,
 ): Promise<number> {
   const startMs = performance.now();
-  const isNamed = (): boolean =>
+  const isListed = (): boolean =>
     fleet.instances.some(({ context }) =>
       context.membership.members.some(
         ({ id, state }) => id === crashed && state === 'live',
       ),
     );
-  while (isNamed() && performance.now() - startMs < GIVE_UP_MS) {
-    await wait(POLL_MS);
+  while (isListed() && performance.now() - startMs < REMOVAL_TIMEOUT_MS) {
+    await wait(POLL_INTERVAL_MS);
   }
   return performance.now() - startMs;
 }
 
-/** One instance crashes with its streams; callers and the others carry on. */
+/** One instance crashes with its open streams while the load continues. */
 export const instanceCrash: FleetExperiment = {
   meta: {
     name: 'instance-crash',
@@ -34,29 +39,31 @@
       'One of four instances drops everything; cutOff counts the answers it broke, goneMs the time until no other names it.',
   },
   run: async ({ seed, seconds }) => {
-    const length = seconds ?? SECONDS;
-    const loaded = new LoadedFleet(SIZE);
+    const length = seconds ?? DEFAULT_SECONDS;
+    const loaded = new LoadedFleet(FLEET_SIZE);
     const result = await loaded.run(
       'instance-crash',
       seed,
       length,
       async fleet => {
-        await wait(partOf(length, CRASH_AT));
+        await wait(shareOfRunMs(length, CRASH_AT_SHARE));
         const crashed = fleet.instances.shift();
         const inFlight = crashed?.context.host.inFlight ?? 0;
         await crashed?.kill();
-        const goneMs = await timeUntilGone(
+        const goneMs = await measureRemovalMs(
           fleet,
           crashed?.context.settings.instance ?? '',
         );
         return { inFlight, goneMs };
       },
     );
-    const cutOff = loaded.faulty.length;
-    // Streams of a crashed instance are lost with it; the caller sees its
-    // connection break, so these are counted here and not as broken promises.
+    const cutOff = loaded.faultyCalls.length;
+    // A crash of an instance cuts its open streams, which callers notice by the
+    // closed connection. These calls are counted in cutOff and don't count as
+    // violations.
     const brokenPromises = result.brokenPromises.filter(
-      line => !loaded.faulty.some(call => line.includes(call.idempotencyKey)),
+      line =>
+        !loaded.faultyCalls.some(call => line.includes(call.idempotencyKey)),
     );
     return {
       ...result,
--- a/packages/bench/src/index.ts
+++ b/packages/bench/src/index.ts
@@ -1,6 +1,6 @@
 export { demoDeployment, demoLoad, keyOf } from './demo/demoDeployment.js';
-export type { RunCounts } from './demo/findBrokenPromises.js';
-export { findBrokenPromises } from './demo/findBrokenPromises.js';
+export type { RunCounts } from './demo/findGuaranteeViolations.js';
+export { findGuaranteeViolations } from './demo/findGuaranteeViolations.js';
 export { FLEET_TOKEN, LocalFleet } from './demo/LocalFleet.js';
 export type { DemoOptions, DemoResult } from './demo/runDemo.js';
 export { runDemo } from './demo/runDemo.js';
