--- a/packages/bench/src/report/ClassTally.ts
+++ b/packages/bench/src/report/ClassTally.ts
@@ -6,8 +6,8 @@
   | { readonly kind: 'left'; readonly tokens: number }
   | { readonly kind: 'refused'; readonly tokens: number }
   /**
-   * The caller disconnected by choice, so the request does not count towards
-   * attainment.
+   * The caller disconnected by choice. No policy could have met the targets, so
+   * the request does not count towards attainment.
    */
   | { readonly kind: 'withdrawn'; readonly tokens: number }
   | {
