--- a/packages/decisions/src/gateway/AnswerLengths.ts
+++ b/packages/decisions/src/gateway/AnswerLengths.ts
@@ -99,7 +99,7 @@
     prompt: PromptMetadata | null,
     service: RoutedService,
   ): number {
-    const meanOrDefault = this.usual(route);
+    const meanOrDefault = this.meanOrDefault(route);
     const perPiece = service.engine?.tokensPerEvent ?? 1;
     const guess = prompt?.expectedOutputTokens;
     const expected = guess
@@ -120,9 +120,9 @@
    */
   observedMean(route: RouteId): number | null {
     const own = this.ownLength(route);
-    const heard = this.#peers.get(route);
-    const answers = own.answers + (heard?.answers ?? 0);
-    const pieces = own.answers * own.pieces + (heard?.pieces ?? 0);
+    const peers = this.#peers.get(route);
+    const answers = own.answers + (peers?.answers ?? 0);
+    const pieces = own.answers * own.pieces + (peers?.pieces ?? 0);
     return answers > 0 ? pieces / answers : null;
   }
 
@@ -130,7 +130,7 @@
    * Returns the mean length of a route's answers, or the default length until
    * any instance has observed an answer.
    */
-  usual(route: RouteId): number {
+  meanOrDefault(route: RouteId): number {
     return this.observedMean(route) ?? DEFAULT_PIECES;
   }
 }
--- a/packages/decisions/src/gateway/BackendLoad.ts
+++ b/packages/decisions/src/gateway/BackendLoad.ts
@@ -240,7 +240,8 @@
   }
 
   /**
-   * Returns the unread prompt tokens of this instance's less urgent requests.
+   * Returns the unread prompt tokens of this instance's requests that are less
+   * urgent than a given priority.
    *
    * @param priority - position in the priority order to compare with, 0 first
    */
@@ -252,9 +253,9 @@
     return [...this.attempts].filter(({ firstByteMs }) => firstByteMs === null);
   }
 
-  #ownUnread(counts: (attempt: GatewayAttempt) => boolean): number {
+  #ownUnread(isCounted: (attempt: GatewayAttempt) => boolean): number {
     return this.#waiting
-      .filter(counts)
+      .filter(isCounted)
       .reduce((sum, { unreadTokens }) => sum + unreadTokens, 0);
   }
 
--- a/packages/decisions/src/gateway/EngineEstimator.ts
+++ b/packages/decisions/src/gateway/EngineEstimator.ts
@@ -8,7 +8,10 @@
 const INITIAL_BASE_MS = 40;
 /** Decay of the sums with each sample; about forty samples contribute. */
 const QUEUE_DECAY = 0.975;
-/** Weight of the initial rate in the sums, as the time over which it counts. */
+/**
+ * Weight of the initial rate in the sums, as the waiting time in milliseconds
+ * that it stands for.
+ */
 const INITIAL_QUEUE_MS = 200;
 /** Smoothing factor of the delay factor of deferred requests. */
 const DELAY_FACTOR_WEIGHT = 0.1;
@@ -27,8 +30,8 @@
   /** Time that they waited, in milliseconds. */
   ms: number;
   /**
-   * Smoothed ratio of the wait of deferred requests to the wait that the tokens
-   * ahead of them accounted for when they were sent.
+   * Smoothed ratio of the wait of deferred requests to the predicted time to
+   * read the tokens that were ahead of them when they were sent.
    */
   deferredDelayFactor: number;
 }
@@ -81,8 +84,8 @@
   }
 
   /**
-   * Returns by what factor deferred requests wait longer than the tokens ahead
-   * of them accounted for when they were sent.
+   * Returns the factor by which deferred requests wait longer than it takes to
+   * read the tokens that were ahead of them when they were sent.
    *
    * @param priority - position of the request in the priority order, 0 first
    */
--- a/packages/decisions/src/gateway/GatewayBoard.ts
+++ b/packages/decisions/src/gateway/GatewayBoard.ts
@@ -43,7 +43,10 @@
 /** Quantities estimated for one service from observed answers. */
 export interface ServiceEstimates {
   readonly engine: EngineEstimator;
-  /** Mean time to a whole answer of a plain service, in milliseconds. */
+  /**
+   * Mean time to a complete answer of a plain service, that is, one without an
+   * engine, in milliseconds.
+   */
   answerMs: number;
 }
 
--- a/packages/decisions/src/gateway/GatewayRouter.ts
+++ b/packages/decisions/src/gateway/GatewayRouter.ts
@@ -329,8 +329,8 @@
   }
 
   /** Records the work and the load reports that another instance sent. */
-  onPeerUpdate(peer: InstanceId, work: PeerUpdate): void {
-    this.#peerLoad.onPeerUpdate(peer, work);
+  onPeerUpdate(peer: InstanceId, update: PeerUpdate): void {
+    this.#peerLoad.onPeerUpdate(peer, update);
   }
 
   /** Updates the set of live instances. */
--- a/packages/decisions/src/gateway/PeerLoadTracker.ts
+++ b/packages/decisions/src/gateway/PeerLoadTracker.ts
@@ -44,7 +44,9 @@
  */
 const MAX_PEER_REPORT_AGE_MS = 1500;
 
-/** Scale factor up to which the instances that reported are nearly all. */
+/**
+ * Scale factor up to which the reports count as covering nearly all instances.
+ */
 const MAX_SCALE_OF_FULL_VIEW = 1.5;
 
 /**
@@ -72,14 +74,14 @@
   constructor(private readonly board: GatewayBoard) {}
 
   /** Records the work and the load reports that another instance sent. */
-  onPeerUpdate(peer: InstanceId, work: PeerUpdate): void {
-    work.reports
+  onPeerUpdate(peer: InstanceId, update: PeerUpdate): void {
+    update.reports
       .filter(report => this.#isCurrentRun(report))
       .forEach(({ id, total, ageMs }) => {
         const atMs = this.board.clock() - ageMs;
         this.board.backends.get(id)?.onPeerReport({ total, atMs });
       });
-    this.#reports.set(peer, { atMs: this.board.clock(), ...work });
+    this.#reports.set(peer, { atMs: this.board.clock(), ...update });
     this.#aggregate();
   }
 
--- a/packages/decisions/src/gateway/PriorityOrder.ts
+++ b/packages/decisions/src/gateway/PriorityOrder.ts
@@ -10,7 +10,7 @@
 /** Requests of one route that share a position in the priority order. */
 export interface RouteClass {
   readonly route: Route;
-  readonly place: number;
+  readonly position: number;
 }
 
 /**
@@ -71,13 +71,15 @@
     const ordered = [...keys.values()].sort(
       (a, b) => a[0] - b[0] || a[1] - b[1],
     );
-    this.#positions = new Map(ordered.map((key, place) => [key.join(), place]));
+    this.#positions = new Map(
+      ordered.map((key, position) => [key.join(), position]),
+    );
     const classes = all.map(({ route, key }) => ({
       route,
-      place: this.#positions.get(key.join()) ?? this.count,
+      position: this.#positions.get(key.join()) ?? this.count,
     }));
-    this.#before = Array.from({ length: ordered.length + 1 }, (_, place) =>
-      classes.filter(entry => entry.place < place),
+    this.#before = Array.from({ length: ordered.length + 1 }, (_, position) =>
+      classes.filter(entry => entry.position < position),
     );
   }
 
@@ -89,10 +91,11 @@
   /**
    * Returns the classes that are more urgent than a position.
    *
-   * @param place - the position; the number of positions selects all classes
+   * @param position - position in the order, 0 first; the number of positions
+   *   selects all classes
    */
-  before(place: number): readonly RouteClass[] {
-    return this.#before[place] ?? [];
+  before(position: number): readonly RouteClass[] {
+    return this.#before[position] ?? [];
   }
 
   /**
--- a/packages/decisions/src/gateway/ReplicaRegistry.ts
+++ b/packages/decisions/src/gateway/ReplicaRegistry.ts
@@ -12,9 +12,10 @@
 import type { StoreClock } from './StoreClock.js';
 
 /**
- * Number of removed entries that are kept, so that other instances can be told.
- * Beyond it, the oldest are pruned, and instances that are further behind
- * receive all entries. The planned fleet has fewer than 500 removals per day.
+ * Number of removed entries that are kept, so that other instances can be told
+ * of the removals. Beyond it, the oldest are pruned, and instances that are
+ * further behind receive all entries. The planned fleet has fewer than 500
+ * removals per day.
  */
 const MAX_TOMBSTONES = 500;
 
@@ -26,7 +27,7 @@
  *
  * Rows carry the store's version, so the views of several instances can be
  * merged in any order: the newest row of each entry wins, and the view never
- * goes back.
+ * returns to an earlier state.
  */
 export class ReplicaRegistry {
   readonly #records = new Map<BackendServerId, ReplicaRecord>();
@@ -68,7 +69,10 @@
     return [...this.#records.values()].flatMap(({ replica }) => replica ?? []);
   }
 
-  /** Returns a replica while its entry counts; undefined otherwise. */
+  /**
+   * Returns the replica with this id; undefined if its entry is unknown or counts
+   * as removed.
+   */
   find(id: BackendServerId): Replica | undefined {
     return this.#records.get(id)?.replica ?? undefined;
   }
@@ -91,8 +95,8 @@
    * Applies rows that the store listed as changed.
    *
    * @param rows - changed entries
-   * @param version - store version that the view is complete for with these
-   *   rows
+   * @param version - store version up to which the view is complete once these
+   *   rows are applied
    * @param asOfMs - time on the store's clock when it answered
    * @returns the resulting changes
    */
--- a/packages/decisions/src/gateway/StoreClock.ts
+++ b/packages/decisions/src/gateway/StoreClock.ts
@@ -83,8 +83,9 @@
   }
 
   /**
-   * Discards the readings, for use when the local clock has not counted some
-   * time.
+   * Discards the current reading. To be called after the local clock has failed
+   * to count some time, for example while the process was suspended: the bound
+   * is then too low.
    */
   forget(): void {
     this.#reading = null;
--- a/packages/decisions/src/gateway/admission/createHeadroomCheck.ts
+++ b/packages/decisions/src/gateway/admission/createHeadroomCheck.ts
@@ -17,8 +17,8 @@
    */
   readonly lateWholeShare: number;
   /**
-   * Largest retry delay, as a share of the remaining time; callers don't follow
-   * advice to wait longer.
+   * Largest retry delay, as a share of the remaining time; callers that are
+   * asked to wait longer don't comply.
    */
   readonly maxRetryShare: number;
 }
@@ -72,11 +72,11 @@
    */
   const wouldAdmit = (
     service: RoutedService,
-    { route, place }: RouteClass,
+    { route, position }: RouteClass,
     pieces: number,
     load: BackendLoad,
   ): boolean => {
-    const urgent = { route, service, priority: place };
+    const urgent = { route, service, priority: position };
     const newWaitMs = expectedWaitMs(board, load, urgent, 'new');
     const isLate = newWaitMs > route.latencyTargetMs;
     const waitMs = isLate
@@ -91,7 +91,7 @@
 
   return ({ service, route, priority }, load) => {
     const { lengths, table } = board;
-    const ownPieces = lengths.usual(route.id);
+    const ownPieces = lengths.meanOrDefault(route.id);
     const moreUrgent = table?.priorities(service.id).before(priority) ?? [];
     // Routes that nobody calls have no known answer length and reserve no
     // headroom.
--- a/packages/decisions/src/gateway/admission/urgencyBounds.ts
+++ b/packages/decisions/src/gateway/admission/urgencyBounds.ts
@@ -19,7 +19,7 @@
 >;
 
 /**
- * Admission bounds that follow from a request's place in the priority order.
+ * Admission bounds that follow from a request's position in the priority order.
  */
 export interface UrgencyBounds {
   /**
@@ -32,8 +32,8 @@
 }
 
 /**
- * Creates a function that derives bounds from a request's place in the priority
- * order of its service.
+ * Creates a function that derives bounds from a request's position in the
+ * priority order of its service.
  *
  * A replica serves late requests after those that can still be on time, so a
  * late request is admitted as long as its caller is likely to wait for it:
@@ -49,15 +49,15 @@
   options: UrgencyOptions,
 ): (request: RequestKind, leftMs: number) => UrgencyBounds {
   return ({ route, service, priority }, leftMs) => {
-    const lastPlace = (board.table?.priorities(service.id).count ?? 1) - 1;
-    const isMostUrgent = priority === 0 && lastPlace > 0;
+    const lastPosition = (board.table?.priorities(service.id).count ?? 1) - 1;
+    const isMostUrgent = priority === 0 && lastPosition > 0;
     const deadlineBoundMs = options.lateShare * leftMs;
     const patienceMs = options.patienceShare * callerPatienceMs(route);
     return {
       allowedMs: isMostUrgent
         ? deadlineBoundMs
         : Math.min(deadlineBoundMs, patienceMs),
-      isLeastUrgent: priority >= lastPlace,
+      isLeastUrgent: priority >= lastPosition,
     };
   };
 }
--- a/packages/decisions/src/gateway/attemptLifecycle.ts
+++ b/packages/decisions/src/gateway/attemptLifecycle.ts
@@ -64,8 +64,9 @@
 }
 
 /**
- * Records the wait of a deferred request, which depends on the requests that
- * arrive after it.
+ * Records the wait of a deferred request, which also depends on requests that
+ * arrive later and are served before it. It does not count towards the estimates
+ * for other requests.
  */
 function learnDeferredWait(
   board: GatewayBoard,
@@ -174,9 +175,9 @@
     board.retryGain.onRetried(request.route.id, answered);
   }
   if (result.kind === 'answered' && !request.service.engine) {
-    const learning = estimatesOf(board, request.service.id);
+    const estimates = estimatesOf(board, request.service.id);
     const tookMs = board.clock() - attempt.sentMs;
-    learning.answerMs += ANSWER_WEIGHT * (tookMs - learning.answerMs);
-    load.onDuration(FIFO_PRIORITY, tookMs, learning.answerMs);
+    estimates.answerMs += ANSWER_WEIGHT * (tookMs - estimates.answerMs);
+    load.onDuration(FIFO_PRIORITY, tookMs, estimates.answerMs);
   }
 }
--- a/packages/decisions/src/gateway/crashes/CrashLedger.ts
+++ b/packages/decisions/src/gateway/crashes/CrashLedger.ts
@@ -12,7 +12,7 @@
 export const MAX_CRASHES = 3;
 /**
  * Crashes after which a request is only sent to the replica with the fewest
- * requests to lose.
+ * requests in flight, since these would be lost in another crash.
  */
 export const MIN_SUSPECT_CRASHES = 2;
 /**
@@ -98,10 +98,10 @@
    *   crashes
    */
   runsOf(content: RequestFingerprint): readonly CrashedRun[] {
-    const held = [...(this.#crashesByContent.get(content) ?? [])];
-    const newestMs = Math.max(...held.map(({ atMs }) => atMs));
+    const crashes = [...(this.#crashesByContent.get(content) ?? [])];
+    const newestMs = Math.max(...crashes.map(({ atMs }) => atMs));
     const decayed = Math.floor((this.clock() - newestMs) / CRASH_DECAY_MS);
-    return held.slice(Math.max(0, decayed));
+    return crashes.slice(Math.max(0, decayed));
   }
 
   /** Contents that are no longer sent. */
@@ -113,9 +113,9 @@
 
   /** Time until a barred request may be sent again, in milliseconds. */
   barredForMs(content: RequestFingerprint): number {
-    const held = [...(this.#crashesByContent.get(content) ?? [])];
-    const newestMs = Math.max(...held.map(({ atMs }) => atMs));
-    const decaysNeeded = Math.max(0, held.length - MAX_CRASHES + 1);
+    const crashes = [...(this.#crashesByContent.get(content) ?? [])];
+    const newestMs = Math.max(...crashes.map(({ atMs }) => atMs));
+    const decaysNeeded = Math.max(0, crashes.length - MAX_CRASHES + 1);
     return Math.max(0, newestMs + decaysNeeded * CRASH_DECAY_MS - this.clock());
   }
 
@@ -235,9 +235,9 @@
       this.#clearedAtMs.set(content, this.clock());
       return true;
     }
-    const held = this.#crashesByContent.get(content) ?? new Set();
-    this.#crashesByContent.set(content, held.add(crash));
-    if (held.size >= MIN_SUSPECT_CRASHES) {
+    const crashes = this.#crashesByContent.get(content) ?? new Set();
+    this.#crashesByContent.set(content, crashes.add(crash));
+    if (crashes.size >= MIN_SUSPECT_CRASHES) {
       this.#repeated.add(content);
     }
     return true;
@@ -271,12 +271,12 @@
 
   #unlinkSuspects(crash: Crash): void {
     crash.suspects.forEach(content => {
-      const held = this.#crashesByContent.get(content);
-      held?.delete(crash);
-      if ((held?.size ?? 0) < MIN_SUSPECT_CRASHES) {
+      const crashes = this.#crashesByContent.get(content);
+      crashes?.delete(crash);
+      if ((crashes?.size ?? 0) < MIN_SUSPECT_CRASHES) {
         this.#repeated.delete(content);
       }
-      if (held?.size === 0) {
+      if (crashes?.size === 0) {
         this.#crashesByContent.delete(content);
       }
     });
--- a/packages/decisions/src/gateway/limits/ReplicaLimits.ts
+++ b/packages/decisions/src/gateway/limits/ReplicaLimits.ts
@@ -21,8 +21,8 @@
 
 /**
  * Allows two requests at once after a pause. The most urgent requests need only
- * one token, so the second one is left to them while others have to wait for
- * more.
+ * one token in the bucket and others need more, so that urgent ones are still
+ * sent while others have to wait.
  */
 const BURST: BurstRule = { capacity: () => 2, startsFull: false };
 /**
@@ -36,9 +36,9 @@
  */
 const MIN_RATE_PER_S = 0.25;
 /**
- * Time by which a peer's report of the end of a limit has to be newer than the
- * limit, in milliseconds. A report may be under way for that long, so one that
- * looks only slightly newer may be older than the limit.
+ * Time by which another instance's report of the end of a limit has to be newer
+ * than the limit, in milliseconds. A report may be under way for that long, so
+ * one that looks only slightly newer may be older than the limit.
  */
 const END_SLACK_MS = 500;
 
@@ -110,8 +110,8 @@
   /**
    * Whether a request may be sent to a replica now.
    *
-   * @param load - of the replica
-   * @param priority - of the request; 0 is the most urgent
+   * @param load - load of the replica
+   * @param priority - position of the request in the priority order, 0 first
    */
   mayTake(load: BackendLoad, priority: number): boolean {
     const bucket = this.#bucketOf(load);
@@ -124,8 +124,8 @@
   /**
    * Time until a request may be sent to a replica, in milliseconds.
    *
-   * @param load - of the replica
-   * @param priority - of the request; 0 is the most urgent
+   * @param load - load of the replica
+   * @param priority - position of the request in the priority order, 0 first
    * @returns Infinity if other instances share the replica's limit
    */
   waitMs(load: BackendLoad, priority: number): number {
--- a/packages/decisions/src/gateway/matchRequest.ts
+++ b/packages/decisions/src/gateway/matchRequest.ts
@@ -68,7 +68,7 @@
   if (!service) {
     return { kind: 'refused', code: 'noBackendServer' };
   }
-  const holder = route.isPublic ? null : (organisation ?? null);
-  const priority = table.priorities(service.id).positionOf(route, holder);
-  return { kind: 'matched', route, service, organisation: holder, priority };
+  const caller = route.isPublic ? null : (organisation ?? null);
+  const priority = table.priorities(service.id).positionOf(route, caller);
+  return { kind: 'matched', route, service, organisation: caller, priority };
 }
--- a/packages/decisions/src/gateway/placement/cacheFetch.ts
+++ b/packages/decisions/src/gateway/placement/cacheFetch.ts
@@ -15,7 +15,7 @@
  */
 const SETUP_MS = 5;
 /**
- * Factor by which a transfer takes longer than its bits at full speed.
+ * Factor by which a transfer takes longer than sending its bits at full speed.
  * Transfers of one replica run one after another, and half of them cross
  * failure domains, where they take twice as long.
  */
@@ -131,11 +131,11 @@
 }: FetchInput): CacheFetch | null {
   const best = holders.find(({ load }) => load !== target);
   const tokens = (best?.tokens ?? 0) - ownTokens;
-  const tookMs = fetchMs(tokens, spec);
-  if (!best || tokens < MIN_FETCH_TOKENS || tookMs === null) {
+  const copyMs = fetchMs(tokens, spec);
+  if (!best || tokens < MIN_FETCH_TOKENS || copyMs === null) {
     return null;
   }
-  return tookMs < tokens / tokensPerMs
-    ? { from: best.load.replica, tokens, copyMs: tookMs, isKnown: best.isKnown }
+  return copyMs < tokens / tokensPerMs
+    ? { from: best.load.replica, tokens, copyMs, isKnown: best.isKnown }
     : null;
 }
--- a/packages/decisions/src/gateway/placement/serviceRank.ts
+++ b/packages/decisions/src/gateway/placement/serviceRank.ts
@@ -26,8 +26,8 @@
  * evenly over the priorities. With many priorities, some have too few ranks for
  * these differences; with more than ten, neighbouring priorities share a rank.
  *
- * @param priority - of the request; 0 is the most urgent
- * @param urgency - of the request among those of its priority
+ * @param priority - position of the request in the priority order, 0 first
+ * @param urgency - urgency of the request among those of its priority
  * @param priorities - number of priorities of the service's requests
  * @returns a rank from 0 to 9
  */
--- a/packages/decisions/src/gateway/placement/tolerance-split.ts
+++ b/packages/decisions/src/gateway/placement/tolerance-split.ts
@@ -20,8 +20,8 @@
   readonly mixingMs: number;
   /**
    * Cost of a replica with all slots taken, in milliseconds. The cost grows
-   * with the square of the occupied share, since steps slow down and requests
-   * begin to wait.
+   * with the square of the occupied share, since decoding steps slow down and
+   * requests begin to wait.
    */
   readonly crowdMs: number;
   /**
@@ -207,8 +207,8 @@
 }
 
 /**
- * Keeps delicate streams away from long prompts, then places requests by first
- * event and cache.
+ * Keeps delicate streams away from long prompts, then places requests by the
+ * predicted time to the first event and by cached prompt parts.
  */
 export const toleranceSplit = createPolicyUnit<
   ToleranceSplitOptions,
--- a/packages/decisions/src/gateway/promptSizeAllowanceMs.ts
+++ b/packages/decisions/src/gateway/promptSizeAllowanceMs.ts
@@ -6,10 +6,10 @@
  * Returns how much later a large request may start than one of its route's
  * usual size.
  *
- * Admission keeps queues at its bounds, so that only small requests would still
- * fit below them and large ones would never be admitted. Disregarding the
- * reading time of the part beyond the usual size, a large request is admitted
- * at the same queue length as others.
+ * Admission lets queues grow up to its bounds. Small requests then still fit
+ * below the bounds, but large ones would never be admitted. Therefore the time
+ * to read the part beyond the usual size is disregarded, and a large request is
+ * admitted at the same queue length as one of usual size.
  *
  * @param board - blackboard that provides the usual size
  * @param request - the request
--- a/packages/decisions/src/gateway/recovery/decideRecovery.ts
+++ b/packages/decisions/src/gateway/recovery/decideRecovery.ts
@@ -11,7 +11,9 @@
   readonly route: Route;
   /** Number of attempts that reached a replica, this one included. */
   readonly sent: number;
-  /** Number of attempts of which no byte left, this one included. */
+  /**
+   * Number of attempts of which no byte left this instance, this one included.
+   */
   readonly unsent: number;
   /** Whether an earlier attempt may have run. */
   readonly mayHaveRun: boolean;
@@ -37,7 +39,7 @@
 /**
  * Whether running a request twice does no harm.
  *
- * @param route - of the request
+ * @param route - route of the request
  * @returns true for safe requests and for streams that can be resumed
  */
 export function isIdempotent(route: Route): boolean {
@@ -59,8 +61,8 @@
  * Decides what follows an attempt that gave no answer for the caller.
  *
  * A refusal promises that the request never ran, so it is given only if no byte
- * left or the replica reported that it did not run the request. Any other end
- * is a failure that promises nothing.
+ * left this instance or the replica reported that it did not run the request.
+ * Any other end is a failure that promises nothing.
  *
  * @param result - how the attempt ended
  * @param facts - the request's route, attempts so far, time and budget
--- a/packages/decisions/src/gateway/usableCandidates.ts
+++ b/packages/decisions/src/gateway/usableCandidates.ts
@@ -15,7 +15,8 @@
  */
 const USED_CONNECTION_SHARE = 0.8;
 /**
- * Connections that an instance may open to a replica, however many share it.
+ * Number of connections that an instance may always open to a replica, however
+ * many instances share it.
  */
 const MIN_CONNECTIONS = 2;
 /**
@@ -24,7 +25,7 @@
  * second.
  */
 const SILENCE_TIMEOUT_MS = 700;
-/** Time without any byte from the replica before an attempt may be moved. */
+/** Time without any byte from a replica before its attempts may be moved. */
 const STALL_TIMEOUT_MS = 200;
 /**
  * Time-out for the first byte, as a multiple of the prediction, and its
@@ -83,14 +84,14 @@
   attempt: GatewayAttempt,
 ): boolean {
   const { firstByteMs, overtaken, sentMs, predictedMs } = attempt;
-  const patienceMs = Math.max(
+  const timeoutMs = Math.max(
     MIN_LOST_ANSWER_MS,
     PREDICTION_MULTIPLE * predictedMs,
   );
   return (
     firstByteMs === null &&
     overtaken >= MIN_OVERTAKEN &&
-    board.clock() - sentMs > patienceMs
+    board.clock() - sentMs > timeoutMs
   );
 }
 
@@ -110,14 +111,14 @@
   const nowMs = board.clock();
   return [...load.attempts].some(attempt => {
     const sinceMs = Math.max(load.lastByteMs, attempt.sentMs);
-    const patienceMs =
+    const timeoutMs =
       attempt.firstByteMs === null
         ? Math.max(
             SILENCE_TIMEOUT_MS,
             PREDICTION_MULTIPLE * attempt.predictedMs,
           )
         : SILENCE_TIMEOUT_MS;
-    return nowMs - sinceMs > patienceMs;
+    return nowMs - sinceMs > timeoutMs;
   });
 }
 
@@ -221,9 +222,9 @@
   const usualMs = request.service.engine
     ? attempt.predictedMs
     : estimatesOf(board, request.service.id).answerMs;
-  const patienceMs = Math.max(
+  const timeoutMs = Math.max(
     MIN_FIRST_BYTE_TIMEOUT_MS,
     PREDICTION_MULTIPLE * usualMs,
   );
-  return nowMs - attempt.sentMs > patienceMs;
+  return nowMs - attempt.sentMs > timeoutMs;
 }
--- a/packages/decisions/tests/gateway/AnswerLengths.test.ts
+++ b/packages/decisions/tests/gateway/AnswerLengths.test.ts
@@ -49,7 +49,7 @@
     Array.from({ length: 100 }).forEach(() => {
       lengths.onEnded(CHECK, 20);
     });
-    t.true(lengths.usual(CHECK) > 19);
+    t.true(lengths.meanOrDefault(CHECK) > 19);
   });
 
   it('uses lengths reported by other instances', t => {
@@ -59,7 +59,7 @@
       { route: CHECK, pieces: 8, answers: 10 },
       { route: brand<RouteId>('other'), pieces: 90, answers: 30 },
     ]);
-    t.is(lengths.usual(CHECK), 5);
+    t.is(lengths.meanOrDefault(CHECK), 5);
     t.deepEqual(lengths.ownLength(CHECK), {
       route: CHECK,
       pieces: 0,
--- a/packages/decisions/tests/gateway/ReplicaRegistry.test.ts
+++ b/packages/decisions/tests/gateway/ReplicaRegistry.test.ts
@@ -191,7 +191,7 @@
             to: fc.integer({ min: 0, max: 3 }),
             reads: fc.boolean(),
             repeat: fc.boolean(),
-            told: fc.constantFrom('all', 'few', 'newest'),
+            selection: fc.constantFrom('all', 'few', 'newest'),
           }),
           { maxLength: 60 },
         ),
@@ -216,17 +216,17 @@
           };
           const changesOf = (
             source: ReplicaRegistry,
-            told: string,
+            selection: string,
             since: number,
           ): ReplicaChanges => {
-            if (told === 'newest') {
+            if (selection === 'newest') {
               return source.newestChanges(2);
             }
-            return told === 'few'
+            return selection === 'few'
               ? source.limitedChangesSince(since, 2)
               : source.changesSince(since);
           };
-          steps.forEach(({ from, to, reads, repeat, told }, index) => {
+          steps.forEach(({ from, to, reads, repeat, selection }, index) => {
             const target = views[to];
             const source = views[from];
             if (!target || !source) {
@@ -239,7 +239,7 @@
                 .filter(entry => entry.rowVersion > target.version);
               target.applyRows(fresh, Math.max(target.version, upTo), 0);
             } else if (source.version > target.version) {
-              const changes = changesOf(source, told, target.version);
+              const changes = changesOf(source, selection, target.version);
               if (!target.followsWithoutGap(changes)) {
                 return;
               }
--- a/packages/decisions/tests/gateway/StoreClock.test.ts
+++ b/packages/decisions/tests/gateway/StoreClock.test.ts
@@ -48,9 +48,9 @@
     );
   });
 
-  // While a machine is suspended, its clock may not advance. Its bound on the
-  // store's clock is then too low, and old views would seem recent.
-  it('discards earlier readings when the clock is ahead of its bound', t => {
+  // The local clock may not advance while the machine is suspended. The bound on
+  // the store's clock is then too low, and old views would seem recent.
+  it('discards earlier readings when the store clock is ahead of its bound', t => {
     const clock = manualClock();
     const storeClock = new StoreClock(clock.now);
     storeClock.read(OFFSET_MS, clock.now());
--- a/packages/decisions/tests/gateway/admission/first-event-target.test.ts
+++ b/packages/decisions/tests/gateway/admission/first-event-target.test.ts
@@ -61,11 +61,11 @@
     const { router, request } = fixture;
     const urgent = router.place(request(URGENT, prompt(900)), new Set());
     t.is(urgent.kind, 'send');
-    const returned = router.place(
+    const retried = router.place(
       request(LONG, prompt(900), { isCallerRetry: true }),
       new Set(),
     );
-    t.is(returned.kind, 'send');
+    t.is(retried.kind, 'send');
   });
 
   // Guards against refusing short urgent requests beside long prompts. They had a
--- a/packages/decisions/tests/gateway/crashes/suspectRequests.test.ts
+++ b/packages/decisions/tests/gateway/crashes/suspectRequests.test.ts
@@ -88,7 +88,7 @@
     t.true(decision.kind === 'refuse' && decision.retryAfterMs > 500_000);
   });
 
-  it('is refused by plain services as well', t => {
+  it('is refused for plain services as well', t => {
     const { crash, send } = suspectFixture(UNSAFE);
     [1, 2, 3].forEach(crash);
     t.is(send(), 'crashesBackends');
@@ -108,7 +108,7 @@
     t.is(router.recover(attempt.request, LOST, counts).kind, 'answer');
   });
 
-  it('is sent to the replica with the fewest requests to lose after two crashes', t => {
+  it('is sent to the replica with the fewest requests in flight after two crashes', t => {
     const { crash, send, router, request, board } = suspectFixture();
     crash();
     crash();
--- a/packages/decisions/tests/gateway/limits/ReplicaLimits.test.ts
+++ b/packages/decisions/tests/gateway/limits/ReplicaLimits.test.ts
@@ -61,7 +61,7 @@
       t.true(board.limits.mayTake(load, LAST));
     });
 
-    it('at the rate of the limit, second tries and resumed ones too', t => {
+    it('at the rate of the limit when more are offered', t => {
       const { board, load, name, send, clock } = limited();
       name(4);
       let sent = 0;
--- a/packages/decisions/tests/gateway/placement/cacheFetch.test.ts
+++ b/packages/decisions/tests/gateway/placement/cacheFetch.test.ts
@@ -70,7 +70,7 @@
     t.is(moved?.unreadTokens, 3000);
   });
 
-  it('are not made by engines that can not copy', t => {
+  it('are not made by engines that cannot copy', t => {
     const { moved } = sendUntilMoved(fixtureWith(null));
     t.is(moved?.fetch ?? null, null);
   });
--- a/packages/decisions/tests/gateway/placement/tolerance-split.test.ts
+++ b/packages/decisions/tests/gateway/placement/tolerance-split.test.ts
@@ -70,8 +70,8 @@
 
   it('uses more replicas for live streams when more of them run', t => {
     // Guards against a burst of live streams that fills one replica with over 60 of
-    // them: its steps slow down and new streams wait for a slot, while other
-    // replicas are half empty.
+    // them: its decoding steps slow down and new streams wait for a slot, while
+    // other replicas are half empty.
     const fixture = gatewayFixture([LIVE, LONG], REPLICAS);
     const attempts = Array.from({ length: 120 }, () => {
       fixture.clock.advance(15);
--- a/packages/decisions/tests/gateway/promptSizeAllowanceMs.test.ts
+++ b/packages/decisions/tests/gateway/promptSizeAllowanceMs.test.ts
@@ -24,24 +24,24 @@
   return { ...fixture, place };
 }
 
-describe('excusedMs', ({ it }) => {
+describe('promptSizeAllowanceMs', ({ it }) => {
   it('is the reading time beyond the usual size of the route', t => {
     const { board, request } = gatewayFixture([LONG], [replica('s-1')]);
     board.demand.onOffered(LONG.id, 5000);
     const best = (unreadTokens: number): PlacedCandidate =>
       ({ unreadTokens, ownReadMs: unreadTokens / 50 }) as PlacedCandidate;
-    const excused = (tokens: number): number =>
+    const allowanceMs = (tokens: number): number =>
       promptSizeAllowanceMs(board, request(LONG), best(tokens));
-    t.is(excused(20_000), 300);
-    t.is(excused(5000), 0);
-    t.is(excused(800), 0);
-    t.is(excused(0), 0);
+    t.is(allowanceMs(20_000), 300);
+    t.is(allowanceMs(5000), 0);
+    t.is(allowanceMs(800), 0);
+    t.is(allowanceMs(0), 0);
   });
 
-  // Admission fills queues up to its bound. A prompt of three times the usual
-  // size was therefore rejected while one of the usual size still fitted, came
-  // back to the same queue and was rejected again.
-  it('admits a large request where one of the usual size is admitted', t => {
+  // Admission lets queues grow up to its bound. A prompt of three times the usual
+  // size was therefore rejected while one of the usual size still fitted. Its
+  // caller retried, met the same queue and was rejected again.
+  it('makes admission accept a large request where it accepts one of the usual size', t => {
     const { place, router, board } = fillQueue();
     const last = [...(board.backends.values().next().value?.attempts ?? [])];
     const ended = last.at(-1);
@@ -55,7 +55,7 @@
     t.is(place(30_000).decision.kind, 'send');
   });
 
-  it('admits no request that its caller would not wait for', t => {
+  it('does not make admission accept a request that its caller would not wait for', t => {
     const { place, router, board } = fillQueue();
     const ended = [
       ...(board.backends.values().next().value?.attempts ?? []),
--- a/packages/decisions/tests/gateway/readDuty.test.ts
+++ b/packages/decisions/tests/gateway/readDuty.test.ts
@@ -15,11 +15,8 @@
   brand<InstanceId>(`entry-${index}`),
 );
 
-const shouldAskReader = (
-  rank: number,
-  ageMs: number,
-  boundMs: number,
-): boolean => !isReader(rank) && shouldQueryReader(ageMs, boundMs);
+const queriesReader = (rank: number, ageMs: number, boundMs: number): boolean =>
+  !isReader(rank) && shouldQueryReader(ageMs, boundMs);
 const shouldRead = (rank: number, ageMs: number, boundMs: number): boolean =>
   ageMs >= storeReadAgeMs(rank, boundMs);
 
@@ -27,16 +24,16 @@
   // Guards against superfluous reads of the store. In a fleet of two hundred,
   // most views were older than two seconds now and then, and each of these
   // instances read the store: three thousand calls in half a minute, half of
-  // them for what a reader could have told.
+  // them for what a reader could have reported.
   it('selects the same readers on all instances, which others query before they read the store', t => {
     const readers = readersOf(FLEET);
     t.deepEqual(readersOf([...FLEET].reverse()), readers);
     FLEET.forEach(id => {
       const rank = rankOf(id, FLEET);
       t.is(readers.includes(id), storeReadAgeMs(rank, BOUND_MS) === 0);
-      const askAtMs = 0.31 * BOUND_MS;
-      t.is(shouldAskReader(rank, askAtMs, BOUND_MS), !readers.includes(id));
-      t.false(!readers.includes(id) && shouldRead(rank, askAtMs, BOUND_MS));
+      const queryAgeMs = 0.31 * BOUND_MS;
+      t.is(queriesReader(rank, queryAgeMs, BOUND_MS), !readers.includes(id));
+      t.false(!readers.includes(id) && shouldRead(rank, queryAgeMs, BOUND_MS));
     });
   });
 
--- a/packages/decisions/tests/gateway/recovery/decideRecovery.test.ts
+++ b/packages/decisions/tests/gateway/recovery/decideRecovery.test.ts
@@ -98,16 +98,13 @@
 
   group('the retry budget', ({ it }) => {
     it('is not used where no retry is possible or no budget is needed', t => {
-      const takeRepeat = (): boolean => {
+      const takeRetry = (): boolean => {
         t.fail('a retry was taken from the budget');
         return true;
       };
-      decideRecovery(FAILED, facts({ sent: 2, takeRetry: takeRepeat }));
-      decideRecovery(LOST, facts({ route: UNSAFE, takeRetry: takeRepeat }));
-      decideRecovery(
-        UNSENT,
-        facts({ sent: 0, unsent: 1, takeRetry: takeRepeat }),
-      );
+      decideRecovery(FAILED, facts({ sent: 2, takeRetry }));
+      decideRecovery(LOST, facts({ route: UNSAFE, takeRetry }));
+      decideRecovery(UNSENT, facts({ sent: 0, unsent: 1, takeRetry }));
       t.pass();
     });
   });
--- a/packages/decisions/tests/gateway/urgency.test.ts
+++ b/packages/decisions/tests/gateway/urgency.test.ts
@@ -232,7 +232,7 @@
 
   it('keeps requests off replicas of a more urgent, more delay-sensitive group', t => {
     const urgent = { ...CHAT, priority: 0 };
-    const patient = { ...ORDER, priority: 1 };
-    t.true(replicasUsedBy(20, [patient, urgent]).size < names.length);
+    const tolerant = { ...ORDER, priority: 1 };
+    t.true(replicasUsedBy(20, [tolerant, urgent]).size < names.length);
   });
 });
