--- a/packages/decisions/src/Router.ts
+++ b/packages/decisions/src/Router.ts
@@ -41,7 +41,10 @@
 export interface RouterOptions extends RecoveryOptions {
   /** Maximum number of servers that one instance uses per pool. */
   readonly subsetSize: number;
-  /** Number of servers that one instance uses over all pools. */
+  /**
+   * Number of servers that one instance uses over all pools; exceeded if a pool would
+   * otherwise have too few servers.
+   */
   readonly serverBudget: number;
 }
 
@@ -90,7 +93,7 @@
     return changed;
   }
 
-  /** Applies a change of the fleet. */
+  /** Applies a change of the identity of this instance or of the live instances. */
   setPlacement(placement: Placement): void {
     this.#configuration.setPlacement(placement);
     this.#dispatchAll();
@@ -166,7 +169,7 @@
     if (record.state === 'running') {
       this.#cancelAttempt(record, 'callerLeft');
     } else {
-      this.#removeFromQueue(record);
+      this.#releaseFromClassQueue(record);
     }
     this.#end(record);
     this.#dispatch.dispatchFromPool(poolKey(record.request.target));
@@ -218,7 +221,7 @@
     const nowMs = this.board.clock();
     this.board.queues.forEach(queue => {
       queue.takeExpired(nowMs).forEach(record => {
-        this.#removeFromQueue(record);
+        this.#releaseFromClassQueue(record);
         this.#end(record);
         this.#admission.refuse(record, {
           code: record.tokensDelivered > 0 ? 'streamCut' : 'queueWaitExceeded',
@@ -267,8 +270,11 @@
     }
   }
 
-  /** Updates the counts of the class queue; displaced requests are not part of it. */
-  #removeFromQueue(record: RequestRecord): void {
+  /**
+   * Subtracts a queued request from the counts of its class queue. Requests that were
+   * dispatched before wait outside the class queues and are not counted there.
+   */
+  #releaseFromClassQueue(record: RequestRecord): void {
     if (record.attempts > 0) {
       return;
     }
--- a/packages/decisions/src/blackboard/Blackboard.ts
+++ b/packages/decisions/src/blackboard/Blackboard.ts
@@ -44,7 +44,7 @@
   ) => void;
   readonly refuse: (record: RequestRecord, refusal: Refusal) => void;
   readonly explain: (event: DecisionEvent) => void;
-  /** Whether the candidates of routing decisions are needed by a reader at present. */
+  /** Whether anyone currently reads the candidates of routing decisions. */
   readonly needsCandidates: () => boolean;
 }
 
@@ -73,6 +73,7 @@
   readonly requests: Map<RequestId, RequestRecord>;
   readonly lengths: LengthEstimator;
   readonly limits: OrganisationLimits;
+  /** Retries that each request class may still use; may be fractional. */
   readonly retryCredits: Map<ClassId, number>;
 }
 
--- a/packages/decisions/src/blackboard/ClassQueue.ts
+++ b/packages/decisions/src/blackboard/ClassQueue.ts
@@ -32,7 +32,8 @@
     this.length += 1;
     this.queuedTokens += record.expectedTokens;
     if (!queue.waiting) {
-      // An organisation accumulates no credit while it is idle.
+      // An organisation does not save up service while it is idle: it starts at the
+      // virtual time of the organisation that was served last.
       queue.virtualTime = Math.max(queue.virtualTime, this.#virtualTime);
       queue.weight = record.weight;
       queue.waiting = true;
--- a/packages/decisions/src/blackboard/RequestQueue.ts
+++ b/packages/decisions/src/blackboard/RequestQueue.ts
@@ -61,10 +61,10 @@
     this.#scheduleExpiry(record, record.arrivedAtMs);
   }
 
-  /** Enqueues a request again that was dispatched before. */
+  /** Enqueues a request that was dispatched before and whose attempt has ended. */
   pushDisplaced(record: RequestRecord, nowMs: number): void {
-    // A stream in progress is worth more than its first-token target, so its wait is
-    // limited by the maximum queue time only.
+    // Cutting off a response in progress is worse than missing its first-token target, so
+    // only the maximum queue time limits the wait.
     record.budgetMs = record.rules.maxQueueMs;
     this.#displaced.push(record);
     this.#scheduleExpiry(record, nowMs);
--- a/packages/decisions/src/blackboard/RoutedRequest.ts
+++ b/packages/decisions/src/blackboard/RoutedRequest.ts
@@ -30,8 +30,8 @@
 export type RequestState = 'ended' | 'queued' | 'running';
 
 /**
- * One dispatch of a request to a backend server. `number` identifies late messages of
- * earlier attempts.
+ * One dispatch of a request to a backend server. Late messages of earlier attempts are
+ * recognised by their `number`.
  */
 export interface Attempt {
   readonly number: number;
--- a/packages/decisions/src/controllers/BackendController.ts
+++ b/packages/decisions/src/controllers/BackendController.ts
@@ -7,15 +7,18 @@
 
 /** Time between tokens, relative to the median of the pool, above which a server is slow. */
 const STRAGGLER_ENTER_FACTOR = 2;
-/** Ratio at or below which a straggler counts as recovered; lower to avoid flapping. */
+/**
+ * Ratio at or below which a straggler counts as recovered; lower than the ratio at which
+ * it became one, to avoid flapping.
+ */
 const STRAGGLER_EXIT_FACTOR = 1.5;
-/** Measured servers that a pool needs for the comparison. */
+/** Number of servers with a measured latency that a pool needs to identify stragglers. */
 const MIN_MEASURED_SERVERS = 3;
 /** Time for which in-flight samples are kept. */
 const HISTORY_MS = 5000;
 /** Time for which a server is avoided after its first failure. */
 const INITIAL_AVOID_MS = 250;
-/** Upper bound of that time, which doubles with every further incident. */
+/** Maximum time for which a server is avoided; the time doubles with every incident. */
 const MAX_AVOID_MS = 15_000;
 
 /** Own requests in flight on a server at a past time, according to the samples. */
--- a/packages/decisions/src/controllers/ConfigurationController.ts
+++ b/packages/decisions/src/controllers/ConfigurationController.ts
@@ -10,7 +10,10 @@
 
 /** Lower bound of the initial concurrency limit on a server. */
 const MIN_INITIAL_LIMIT = 2;
-/** Leaves a choice of servers after the loss of a failure domain and with a straggler. */
+/**
+ * Minimum number of servers that one instance uses per pool, if the pool has that many. It
+ * leaves a choice of servers even when a failure domain is lost and a server is a straggler.
+ */
 const MIN_SUBSET = 4;
 
 function targetsOf(server: BackendServer): readonly Target[] {
@@ -73,7 +76,7 @@
     return true;
   }
 
-  /** Applies a change of the fleet. */
+  /** Applies a change of the identity of this instance or of the live instances. */
   setPlacement(placement: Placement): void {
     this.board.placement = placement;
     this.#rebuild();
--- a/packages/decisions/src/controllers/RecoveryController.ts
+++ b/packages/decisions/src/controllers/RecoveryController.ts
@@ -20,16 +20,20 @@
   readonly migrateFromStragglers: boolean;
 }
 
-/** Minimum silence after the first token. */
+/** Minimum time without tokens after which a started response counts as silent. */
 const MIN_SILENCE_MS = 750;
-/** Silence after the first token, as a multiple of the server's time between tokens. */
+/** That time as a multiple of the server's time between tokens, if longer. */
 const SILENCE_GAP_FACTOR = 10;
-/** Minimum silence before the first token. */
+/** Minimum time without a first token after which an attempt counts as silent. */
 const MIN_FIRST_TOKEN_SILENCE_MS = 2000;
-/** Silence before the first token, as a multiple of the server's time to first token. */
+/** That time as a multiple of the server's time to first token, if longer. */
 const FIRST_TOKEN_SILENCE_FACTOR = 4;
-/** Silence of a service, as a multiple of the first-token target of the class. */
+/**
+ * Time without a response after which a service counts as silent, as a multiple of the
+ * first-token target of the class.
+ */
 const SERVICE_SILENCE_FACTOR = 8;
+/** Minimum of that time. */
 const MIN_SERVICE_SILENCE_MS = 5000;
 /** Remaining tokens below which a request is not worth migrating. */
 const MIN_TOKENS_LEFT_TO_MIGRATE = 24;
