--- a/packages/decisions/src/duties/DutyBoard.ts
+++ b/packages/decisions/src/duties/DutyBoard.ts
@@ -58,17 +58,20 @@
  * Records the state of the holding if it is newer than the known one.
  *
  * @param board - duty board to update
- * @param told - state received from another instance or read from the store
+ * @param received - state received from another instance or read from the store
  * @returns whether the fencing token changed or the lease was released
  */
-export function recordHolding(board: DutyBoard, told: HoldingNews): boolean {
+export function recordHolding(
+  board: DutyBoard,
+  received: HoldingNews,
+): boolean {
   const known = board.latestHolding;
-  if (!isNewerHolding(told, known)) {
+  if (!isNewerHolding(received, known)) {
     return false;
   }
-  board.latestHolding = told;
-  board.collector.discardThrough(told.decidedThrough);
-  return known?.token !== told.token || told.released;
+  board.latestHolding = received;
+  board.collector.discardThrough(received.decidedThrough);
+  return known?.token !== received.token || received.released;
 }
 
 /**
--- a/packages/decisions/src/duties/HolderLease.ts
+++ b/packages/decisions/src/duties/HolderLease.ts
@@ -271,16 +271,16 @@
     );
   }
 
-  #isReadDue({ rank, latestHolding: news }: LeaseInputs): boolean {
+  #isReadDue({ rank, latestHolding }: LeaseInputs): boolean {
     const { clock, storeClock } = this.options;
     const { latestMs } = storeClock;
-    const overdueMs = news
-      ? latestMs - news.untilMs - READ_DELAY_MS
+    const overdueMs = latestHolding
+      ? latestMs - latestHolding.untilMs - READ_DELAY_MS
       : clock() - this.#state.startedMs - FIRST_READ_DELAY_MS;
     // The rank is computed last because it takes a pass over all instances.
     return (
       overdueMs > 0 &&
-      (!news || Number.isFinite(latestMs)) &&
+      (!latestHolding || Number.isFinite(latestMs)) &&
       overdueMs > Math.min(MAX_READ_STAGGER_MS, rank() * READ_STAGGER_MS)
     );
   }
--- a/packages/decisions/src/duties/Holding.ts
+++ b/packages/decisions/src/duties/Holding.ts
@@ -120,20 +120,21 @@
 /**
  * Whether a received state of the holding is newer than the known one.
  *
- * @param told - state received from another instance or read from the store
+ * @param received - state received from another instance or read from the store
  * @param known - known state; null if there is none
  */
 export function isNewerHolding(
-  told: HoldingNews,
+  received: HoldingNews,
   known: HoldingNews | null,
 ): boolean {
-  if (told.token !== known?.token) {
-    return told.token > (known?.token ?? 0);
+  if (received.token !== known?.token) {
+    return received.token > (known?.token ?? 0);
   }
-  if (told.released !== known.released) {
-    return told.released;
+  if (received.released !== known.released) {
+    return received.released;
   }
   return (
-    told.untilMs > known.untilMs || told.decidedThrough > known.decidedThrough
+    received.untilMs > known.untilMs ||
+    received.decidedThrough > known.decidedThrough
   );
 }
--- a/packages/decisions/src/duties/decideUsage.ts
+++ b/packages/decisions/src/duties/decideUsage.ts
@@ -4,11 +4,14 @@
 import { decidedThrough } from './Holding.js';
 import type { UsageCollector } from './UsageCollector.js';
 
-/** Time after a window in which responses may still report requests that started in it. */
+/**
+ * Time after the end of a window within which late responses may still show that their
+ * requests started in it.
+ */
 const MIN_SETTLE_MS = 1200;
-/** Share of the report's deadline for which silent instances are waited for. */
+/** Share of the time until a report is due for which missing counts are waited for. */
 const MAX_WAIT_SHARE = 0.5;
-/** Time in which a new holder receives the counts of all live instances. */
+/** Time that a new holder needs to receive the counts of all live instances. */
 const MIN_HELD_MS = 2000;
 /** Windows older than this are not reported any more. */
 const MAX_BACKLOG_WINDOWS = 6;
--- a/packages/decisions/src/duties/scaling/CapacityEstimator.ts
+++ b/packages/decisions/src/duties/scaling/CapacityEstimator.ts
@@ -67,7 +67,10 @@
   observe({ inFlight, slots, most }: ServiceLoad): number {
     const { targetUse, holdMs, decayMs } = this.options;
     const nowMs = this.clock();
-    const now = Math.min(most, inFlight / (Math.max(1, slots) * targetUse));
+    const neededNow = Math.min(
+      most,
+      inFlight / (Math.max(1, slots) * targetUse),
+    );
     const previous = this.#need;
     const sinceMs = nowMs - this.#observedMs;
     this.#observedMs = nowMs;
@@ -77,10 +80,10 @@
         ? previous
         : previous * Math.exp(-sinceMs / decayMs);
     const isFirst = this.#peakMs === -Infinity;
-    if (inFlight > 0 && (now >= kept || isFirst)) {
+    if (inFlight > 0 && (neededNow >= kept || isFirst)) {
       this.#peakMs = nowMs;
     }
-    this.#need = Math.max(kept, now);
+    this.#need = Math.max(kept, neededNow);
     return this.#need;
   }
 }
--- a/packages/decisions/src/duties/scaling/ReplicaOrders.ts
+++ b/packages/decisions/src/duties/scaling/ReplicaOrders.ts
@@ -59,7 +59,7 @@
 export class ReplicaOrders {
   readonly #accepted = new Map<string, AcceptedOrder>();
   readonly #unavailableUntilMs = new Map<string, number>();
-  /** Since when fewer replicas than ordered are wanted. */
+  /** Local time since which fewer replicas than ordered are wanted, by order key. */
   readonly #surplusSinceMs = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {}
--- a/packages/decisions/tests/duties/HolderLease.test.ts
+++ b/packages/decisions/tests/duties/HolderLease.test.ts
@@ -72,7 +72,7 @@
     });
 
     // Guards against acting on a lease that expired while the machine was paused.
-    holds('has no token after it was dropped', t => {
+    holds('has no token after it was invalidated', t => {
       const clock = manualClock();
       const { lease } = acquiredBy('a', clock);
       lease.invalidate();
@@ -130,14 +130,14 @@
     waits('is read by the candidates one after another, by rank', t => {
       const clock = manualClock();
       const { holding } = acquiredBy('a', clock);
-      const news = { ...holding, decidedThrough: 0 };
+      const latestHolding = { ...holding, decidedThrough: 0 };
       clock.advance(LEASE_MS + 300);
       const dueAt = [0, 1, 2, 5, 60].filter(
         rank =>
           leaseOf('b', clock).next({
             ...INPUTS,
             rank: () => rank,
-            latestHolding: news,
+            latestHolding,
           }).kind === 'read',
       );
       t.deepEqual(dueAt, [0]);
--- a/packages/decisions/tests/duties/exploreLease.test.ts
+++ b/packages/decisions/tests/duties/exploreLease.test.ts
@@ -9,7 +9,7 @@
 const A = brand<HolderId>('a');
 const B = brand<HolderId>('b');
 
-function act(holder: HolderId, token: number, atMs: number): HolderCall {
+function callOf(holder: HolderId, token: number, atMs: number): HolderCall {
   return { holder, token, atMs };
 }
 
@@ -39,32 +39,34 @@
   private readonly nowMs: number;
 }
 
-describe('the check of the calls that holders make', ({ it }) => {
+describe('findLeaseViolation, the check of calls that holders make', ({
+  it,
+}) => {
   it('accepts holders that follow one another', t => {
-    const acts = [
-      act(A, 1, 0),
-      act(A, 1, 900),
-      act(B, 2, 4000),
-      act(B, 3, 9000),
+    const calls = [
+      callOf(A, 1, 0),
+      callOf(A, 1, 900),
+      callOf(B, 2, 4000),
+      callOf(B, 3, 9000),
     ];
-    t.is(findLeaseViolation(acts, LEASE_MS), null);
+    t.is(findLeaseViolation(calls, LEASE_MS), null);
   });
 
   it('finds two holders with the same token', t => {
     t.is(
-      findLeaseViolation([act(A, 1, 0), act(B, 1, 9000)], LEASE_MS),
+      findLeaseViolation([callOf(A, 1, 0), callOf(B, 1, 9000)], LEASE_MS),
       'two holders with token 1',
     );
   });
 
   it('finds a call with a lower token than an earlier call', t => {
-    const acts = [act(A, 1, 0), act(B, 2, 9000), act(A, 1, 20_000)];
-    t.is(findLeaseViolation(acts, LEASE_MS), 'token 1 after a higher one');
+    const calls = [callOf(A, 1, 0), callOf(B, 2, 9000), callOf(A, 1, 20_000)];
+    t.is(findLeaseViolation(calls, LEASE_MS), 'token 1 after a higher one');
   });
 
   it('finds a holder that returns within the duration of a lease', t => {
-    const acts = [act(A, 1, 0), act(B, 2, 1000), act(A, 3, 2500)];
-    t.is(findLeaseViolation(acts, LEASE_MS), 'a came back within a lease');
+    const calls = [callOf(A, 1, 0), callOf(B, 2, 1000), callOf(A, 3, 2500)];
+    t.is(findLeaseViolation(calls, LEASE_MS), 'a came back within a lease');
   });
 });
 
--- a/packages/decisions/tests/duties/helpers/exploreLease.ts
+++ b/packages/decisions/tests/duties/helpers/exploreLease.ts
@@ -31,7 +31,7 @@
   readonly agents: readonly LeaseState[];
   readonly sent: readonly SentWrite[];
   /** Calls that agents have made as the holder. */
-  readonly acts: readonly HolderCall[];
+  readonly holderCalls: readonly HolderCall[];
 }
 
 /** Result of an exploration. */
@@ -41,7 +41,7 @@
   /** The first fault with the calls that led to it; null if there is none. */
   readonly fault: {
     readonly what: string;
-    readonly acts: readonly HolderCall[];
+    readonly holderCalls: readonly HolderCall[];
   } | null;
 }
 
@@ -122,7 +122,7 @@
 }
 
 /** The agent makes a call if it is the holder. */
-function act(
+function makeCall(
   state: SystemState,
   agent: number,
   create: LeaseFactory,
@@ -133,8 +133,8 @@
     : [
         {
           ...state,
-          acts: [
-            ...state.acts,
+          holderCalls: [
+            ...state.holderCalls,
             { holder: holderOf(agent), token, atMs: state.nowMs },
           ],
         },
@@ -215,7 +215,7 @@
     );
     return [
       ...(isWaiting ? [] : [step(state, agent, create)]),
-      ...act(state, agent, create),
+      ...makeCall(state, agent, create),
       restart(state, agent, create),
     ];
   });
@@ -231,9 +231,9 @@
 }
 
 /** Key that is equal for states with the same possible futures. */
-function keyOf({ nowMs, row, agents, sent, acts }: SystemState): string {
-  const recent = acts.filter(({ atMs }) => nowMs - atMs <= LEASE_MS);
-  return JSON.stringify([nowMs, row, agents, sent, recent, acts.at(-1)]);
+function keyOf({ nowMs, row, agents, sent, holderCalls }: SystemState): string {
+  const recent = holderCalls.filter(({ atMs }) => nowMs - atMs <= LEASE_MS);
+  return JSON.stringify([nowMs, row, agents, sent, recent, holderCalls.at(-1)]);
 }
 
 /**
@@ -257,7 +257,7 @@
     row: { version: 0, holding: null },
     agents: [],
     sent: [],
-    acts: [],
+    holderCalls: [],
   };
   const states = Array.from({ length: agents }, (_, agent) => ({
     ...leaseAt(empty, agent, create).state,
@@ -275,11 +275,14 @@
         return isNew;
       });
     const broken = next.find(
-      ({ acts }) => findLeaseViolation(acts, LEASE_MS) !== null,
+      ({ holderCalls }) => findLeaseViolation(holderCalls, LEASE_MS) !== null,
     );
     if (broken) {
-      const what = findLeaseViolation(broken.acts, LEASE_MS) ?? '';
-      return { states: seen.size, fault: { what, acts: broken.acts } };
+      const what = findLeaseViolation(broken.holderCalls, LEASE_MS) ?? '';
+      return {
+        states: seen.size,
+        fault: { what, holderCalls: broken.holderCalls },
+      };
     }
     frontier = next;
   }
--- a/packages/decisions/tests/duties/scaling/replicaOrders.test.ts
+++ b/packages/decisions/tests/duties/scaling/replicaOrders.test.ts
@@ -108,13 +108,13 @@
 describe('planReplicas where spot replicas are unavailable', ({ it }) => {
   const planWhere = (
     isSpotUnavailable: (domain: FailureDomainId) => boolean,
-    standing: ReplicaCensus,
+    active: ReplicaCensus,
   ): number =>
     [
       ...planReplicas({
         scaling: SCALING,
         need: 60,
-        census: standing,
+        census: active,
         isSpotUnavailable,
       }).values(),
     ].reduce((sum, { lasting }) => sum + lasting, 0);
@@ -211,11 +211,11 @@
   it('releases nothing between two bursts', t => {
     const clock = manualClock();
     const orders = new ReplicaOrders(clock.now);
-    const standing = census(4, 24);
-    orders.due(facts({ census: standing })).forEach(order => {
+    const active = census(4, 24);
+    orders.due(facts({ census: active })).forEach(order => {
       orders.onAccepted(order);
     });
-    const quiet = facts({ census: standing, need: 10, isIdle: false });
+    const quiet = facts({ census: active, need: 10, isIdle: false });
     t.deepEqual(orders.due(quiet), []);
     clock.advance(5000);
     t.deepEqual(orders.due(quiet), []);
@@ -227,11 +227,11 @@
   it('releases a few replicas at a time while there is load', t => {
     const clock = manualClock();
     const orders = new ReplicaOrders(clock.now);
-    const standing = census(4, 24);
-    orders.due(facts({ census: standing })).forEach(order => {
+    const active = census(4, 24);
+    orders.due(facts({ census: active })).forEach(order => {
       orders.onAccepted(order);
     });
-    const quiet = facts({ census: standing, need: 10, isIdle: false });
+    const quiet = facts({ census: active, need: 10, isIdle: false });
     orders.due(quiet);
     clock.advance(9000);
     const due = orders.due(quiet);
@@ -258,28 +258,28 @@
   });
 });
 
-describe('CapacityNeed', ({ it }) => {
+describe('CapacityEstimator', ({ it }) => {
   const OPTIONS = { targetUse: 0.5, holdMs: 10_000, decayMs: 20_000 };
   const load = (inFlight: number) => ({ inFlight, slots: 16, most: 120 });
 
   it('increases with the load at once', t => {
-    const need = new CapacityEstimator(20, manualClock().now, OPTIONS);
-    t.is(need.observe(load(0)), 20);
-    t.is(need.observe(load(400)), 50);
-    t.is(need.observe(load(4000)), 120);
+    const estimator = new CapacityEstimator(20, manualClock().now, OPTIONS);
+    t.is(estimator.observe(load(0)), 20);
+    t.is(estimator.observe(load(400)), 50);
+    t.is(estimator.observe(load(4000)), 120);
   });
 
   // Guards against a second burst that finds the capacity of the first one released.
   it('is held between two bursts and then decays', t => {
     const clock = manualClock();
-    const need = new CapacityEstimator(20, clock.now, OPTIONS);
-    need.observe(load(400));
+    const estimator = new CapacityEstimator(20, clock.now, OPTIONS);
+    estimator.observe(load(400));
     clock.advance(9000);
-    t.is(need.observe(load(40)), 50);
+    t.is(estimator.observe(load(40)), 50);
     Array.from({ length: 100 }).forEach(() => {
       clock.advance(1000);
-      need.observe(load(40));
+      estimator.observe(load(40));
     });
-    t.true(need.replicas < 10);
+    t.true(estimator.replicas < 10);
   });
 });
