--- a/packages/decisions/src/limits/DemandLedger.ts
+++ b/packages/decisions/src/limits/DemandLedger.ts
@@ -15,8 +15,8 @@
 }
 
 /**
- * Time for which a reported demand counts; a reporter that is gone stops
- * counting after it.
+ * Time for which a reported demand counts; an instance that is gone no longer
+ * counts afterwards.
  */
 const REPORT_TTL_MS = 10_000;
 /**
@@ -63,8 +63,8 @@
     const others = [...collected.byReporter]
       .filter(([id]) => id !== reporter)
       .map(([, report]) => report.demand);
-    const unheard = Math.max(0, instances - 1 - others.length);
-    const zeros = Array.from({ length: unheard }, () => 0);
+    const missingReports = Math.max(0, instances - 1 - others.length);
+    const zeros = Array.from({ length: missingReports }, () => 0);
     return demandShare(demand, [...others, ...zeros]);
   }
 
--- a/packages/decisions/src/limits/OwnerRing.ts
+++ b/packages/decisions/src/limits/OwnerRing.ts
@@ -44,12 +44,12 @@
    *   hash; undefined if there are no instances
    */
   ownerOf(organisation: OrganisationId): InstanceId | undefined {
-    const wanted = murmurhash.v3(organisation);
+    const position = murmurhash.v3(organisation);
     let low = 0;
     let high = this.#points.length;
     while (low < high) {
       const middle = (low + high) >>> 1;
-      if ((this.#points[middle]?.position ?? Infinity) < wanted) {
+      if ((this.#points[middle]?.position ?? Infinity) < position) {
         low = middle + 1;
       } else {
         high = middle;
--- a/packages/decisions/src/limits/TokenBucket.ts
+++ b/packages/decisions/src/limits/TokenBucket.ts
@@ -51,7 +51,8 @@
   }
 
   /**
-   * Time until the bucket is out of debt, in milliseconds; 0 if it has tokens.
+   * Time until the bucket holds a whole token, in milliseconds; 0 unless it is
+   * empty or in debt.
    */
   waitMs(nowMs: number): number {
     return this.level(nowMs) > 0 ? 0 : this.timeToMs(1, nowMs);
--- a/packages/decisions/src/limits/demandShare.ts
+++ b/packages/decisions/src/limits/demandShare.ts
@@ -1,6 +1,6 @@
 /**
- * Part of a limit that is split evenly, so that a new caller finds room at
- * every instance.
+ * Part of a limit that is split evenly, so that every instance can admit some
+ * requests of an organisation that has not called it before.
  */
 const EVEN_SHARE = 0.2;
 
--- a/packages/decisions/src/membership/Membership.ts
+++ b/packages/decisions/src/membership/Membership.ts
@@ -263,11 +263,13 @@
   tick(): void {
     const nowMs = this.clock();
     const { removeAfterMs } = this.options;
-    const suspectMs = this.options.suspicionTimeoutMs(this.#members.size);
+    const suspicionTimeoutMs = this.options.suspicionTimeoutMs(
+      this.#members.size,
+    );
     this.#lastTickMs = nowMs;
     this.members.forEach(member => {
       const ageMs = nowMs - member.sinceMs;
-      if (member.state === 'suspect' && ageMs > suspectMs) {
+      if (member.state === 'suspect' && ageMs > suspicionTimeoutMs) {
         this.#change(member, 'failed', member.incarnation);
       }
       const gone = member.state === 'failed' || member.state === 'leaving';
@@ -307,7 +309,10 @@
     }
   }
 
-  /** Raises the incarnation, which overrides every suspicion of an earlier one. */
+  /**
+   * Raises the incarnation of this instance if a fact wrongly states that it is suspect,
+   * failed or leaving. Facts about a lower incarnation no longer apply.
+   */
   #refute(fact: MemberFact): void {
     const isContested =
       fact.state === 'suspect' ||
--- a/packages/decisions/src/membership/PeerProbes.ts
+++ b/packages/decisions/src/membership/PeerProbes.ts
@@ -93,20 +93,20 @@
    * Begins a round and counts the overdue probes as misses.
    *
    * Must be called before the membership's `tick`. Guards against false suspicion by an
-   * instance that was stalled itself: received answers are then still unread behind its
-   * timers, so the stalled time does not count against other members.
+   * instance that was stalled itself: its timers run before it reads the answers that have
+   * arrived meanwhile, so the stalled time does not count against other members.
    *
    * @returns members to probe again at once, because in a large fleet their next regular
    *   probe may be many seconds away
    */
   beginRound(): readonly Member[] {
     const nowMs = this.clock();
-    const { periodMs, answerTimeoutMs: answerMs } = this.options;
+    const { periodMs, answerTimeoutMs } = this.options;
     const stalledMs = Math.max(0, nowMs - this.#lastRoundMs - periodMs);
     this.#lastRoundMs = nowMs;
     const overdue = [...this.#outstanding].filter(([, probe]) => {
       probe.askedMs += stalledMs;
-      return nowMs - probe.askedMs > answerMs;
+      return nowMs - probe.askedMs > answerTimeoutMs;
     });
     return overdue.flatMap(([number, { member }]) => {
       this.#outstanding.delete(number);
--- a/packages/decisions/tests/limits/OrganisationLimits.test.ts
+++ b/packages/decisions/tests/limits/OrganisationLimits.test.ts
@@ -121,7 +121,7 @@
     t.is(admittedCount, 20);
   });
 
-  it('gives no shares until a new owner has collected reports', t => {
+  it('gets no share from a new owner that has not collected reports yet', t => {
     const ledger = new DemandLedger();
     const ask = (name: string, atMs: number) =>
       ledger.report(ID, brand<InstanceId>(name), 10, 4, atMs);
@@ -130,7 +130,7 @@
     t.is(ask('a', 3000), 0.2 / 4 + 0.8 / 2);
   });
 
-  it('drops organisations that were removed', t => {
+  it('does not limit organisations that were removed', t => {
     const limiter = new OrganisationLimits();
     limiter.configure([limited(1)], 0);
     limiter.configure([], 0);
--- a/packages/decisions/tests/membership/Membership.test.ts
+++ b/packages/decisions/tests/membership/Membership.test.ts
@@ -128,8 +128,8 @@
       t.true(fleet.statesOf('n1').every(state => state === 'live'));
     });
 
-    // Guards against an instance that never gets callers again after a pause. The others
-    // consider it failed; it has to learn this and raise its incarnation.
+    // Guards against an instance that never gets callers again after a pause of half a
+    // minute. The others consider it failed; it has to learn this and raise its incarnation.
     it('restores a paused instance once it refutes its failure', t => {
       const fleet = new Fleet(names(8));
       fleet.run(3);
