--- a/packages/decisions/src/policies/admission/predictive.ts
+++ b/packages/decisions/src/policies/admission/predictive.ts
@@ -57,9 +57,13 @@
 }
 
 /** Token rate that higher tiers leave, but at least the guaranteed share. */
-function rateLeft(total: number, above: number, record: RequestRecord): number {
+function rateLeft(
+  total: number,
+  higherTiersRate: number,
+  record: RequestRecord,
+): number {
   const guaranteed = total * record.rules.guaranteedShare;
-  return Math.max(guaranteed, total - above);
+  return Math.max(guaranteed, total - higherTiersRate);
 }
 
 /**
@@ -79,9 +83,9 @@
   margin: number,
 ): number {
   const { rules } = record;
-  // A request of the highest tier may wait up to its queue limit, because late
-  // is better than shed. Requests of lower tiers are shed at once if their
-  // target is out of reach.
+  // A request of the highest tier may wait for its maximum queue time, because
+  // a late response is better than none. Requests of lower tiers are shed at
+  // once if they cannot meet their target.
   if (rules.tier === HIGHEST_TIER) {
     return rules.maxQueueMs;
   }
@@ -99,10 +103,10 @@
     const pool = poolKey(record.request.target);
     const views = board.pools.get(pool) ?? [];
     const rate = tokenRate(views, board.clock(), options.priorBetweenTokensMs);
-    const above = loadOf(board, pool).offeredAbove(record.rules.tier);
-    const left = rateLeft(rate, above, record);
-    const ahead = tokensAhead(queueOf(board, pool), record);
-    const predictedWaitMs = left === 0 ? Infinity : ahead / left;
+    const higherTiersRate = loadOf(board, pool).offeredAbove(record.rules.tier);
+    const left = rateLeft(rate, higherTiersRate, record);
+    const queuedAhead = tokensAhead(queueOf(board, pool), record);
+    const predictedWaitMs = left === 0 ? Infinity : queuedAhead / left;
     const budget = budgetMs(
       record,
       expectedFirstTokenMs(views),
@@ -121,7 +125,7 @@
   };
 }
 
-/** Sheds requests at arrival that can't meet their target any more. */
+/** Sheds requests on arrival if they cannot meet their target. */
 export const predictive = createPolicyUnit<PredictiveOptions, AdmissionPolicy>({
   name: 'predictive',
   description:
--- a/packages/decisions/src/policies/catalogue.ts
+++ b/packages/decisions/src/policies/catalogue.ts
@@ -15,7 +15,7 @@
 import { leastOutstanding } from './routing/least-outstanding.js';
 import { roundRobin } from './routing/round-robin.js';
 
-/** What the catalogue states of a policy of any kind. */
+/** Description of a policy of any kind, without its option schema. */
 export type CatalogueEntry = Omit<PolicyMeta<object>, 'schema'>;
 
 /** Every policy; docs/policies/ has a page for each. */
--- a/packages/decisions/src/policies/concurrency/adaptive-limit.ts
+++ b/packages/decisions/src/policies/concurrency/adaptive-limit.ts
@@ -105,7 +105,8 @@
         view.limit = Math.max(options.minLimit, view.limit * options.decrease);
         return;
       }
-      // A limit grows only if it was binding, rather than demand being low.
+      // Latency is also low when there is little demand, so a limit grows only if
+      // it was binding.
       const binding = view.inFlight >= view.limit * BINDING_SHARE - 1;
       if (pressure < options.lowPressure && binding) {
         view.limit += options.increase;
--- a/packages/decisions/src/policies/recovery/budgeted-resume.ts
+++ b/packages/decisions/src/policies/recovery/budgeted-resume.ts
@@ -6,9 +6,9 @@
 import type { AttemptFailure, RecoveryPolicy } from './RecoveryPolicy.js';
 
 interface BudgetedResumeOptions {
-  /** Number of attempts that may have run after which the request ends. */
+  /** Number of attempts that possibly ran at which the request fails. */
   readonly maxAttempts: number;
-  /** Number of attempts in all, including those that certainly did not run. */
+  /** Maximum number of attempts, including those that certainly did not run. */
   readonly maxTries: number;
 }
 
@@ -35,14 +35,15 @@
 }
 
 /**
- * Whether limits and budget allow another attempt.
+ * Charges another attempt to the limits and the retry budget; false if they do
+ * not allow it.
  *
  * A refused connection costs an engine nothing, and its server is avoided from
  * then on, so it counts neither against the budget nor as a costly attempt.
  * Otherwise a request would fail although there are healthy servers, because
  * the first few it tried were down.
  */
-function isWithinBudget(
+function chargeNextAttempt(
   board: Blackboard,
   record: RequestRecord,
   failure: AttemptFailure,
@@ -77,7 +78,7 @@
     if (!mayRunAgain(record, failure)) {
       return 'fail';
     }
-    if (!isWithinBudget(board, record, failure, options)) {
+    if (!chargeNextAttempt(board, record, failure, options)) {
       return 'fail';
     }
     return record.tokensDelivered > 0 ? 'resume' : 'retry';
--- a/packages/decisions/src/policies/routing/RoutingPolicy.ts
+++ b/packages/decisions/src/policies/routing/RoutingPolicy.ts
@@ -14,8 +14,8 @@
 }
 
 /**
- * Number of this instance's requests that may be on a server, for a given
- * request.
+ * Maximum number of requests that this instance may have in flight on a server,
+ * as it applies to a given request.
  */
 export type SlotLimit = (view: BackendView, record: RequestRecord) => number;
 
--- a/packages/decisions/src/policies/routing/least-cost.ts
+++ b/packages/decisions/src/policies/routing/least-cost.ts
@@ -33,7 +33,8 @@
 }
 
 /**
- * A server with its verdict; the score counts only if the server is eligible.
+ * A server with its verdict. Eligible servers have the verdict `worse`, which
+ * becomes `chosen` for the best of them; only they have a finite score.
  */
 interface Evaluation {
   readonly view: BackendView;
@@ -41,8 +42,10 @@
   readonly score: number;
 }
 
+/** Maximum random part of a score; it chooses between servers of equal cost. */
 const TIE_BREAK = 0.001;
-const TOKENS_PER_UNIT = 1000;
+/** Number of prompt tokens that `prefixWorth` refers to. */
+const PREFIX_WORTH_TOKENS = 1000;
 
 /**
  * Estimates the current number of requests on a server from two sources, each
@@ -118,7 +121,7 @@
     );
     const prefixValue = Math.min(
       options.maxPrefixWorth,
-      (options.prefixWorth * record.request.promptTokens) / TOKENS_PER_UNIT,
+      (options.prefixWorth * record.request.promptTokens) / PREFIX_WORTH_TOKENS,
     );
     const affinityBonus = view.prefixes.has(record.request.prefixHash)
       ? prefixValue
