--- a/packages/gateway/src/duties/DutyLeaseKeeper.ts
+++ b/packages/gateway/src/duties/DutyLeaseKeeper.ts
@@ -26,8 +26,8 @@
 /** Callbacks for changes of who holds the duties. */
 export interface HoldingListener {
   /**
-   * Called when this instance has acquired the duties, with the notes that are in the
-   * store.
+   * Called when this instance has acquired the duties, with the notes that the former
+   * holder left in the store.
    */
   readonly onAcquired: (notes: DutyNotes) => void;
   /**
@@ -74,18 +74,18 @@
     // While the machine was suspended its clock stood still, so the lease may have
     // expired.
     if (this.#suspendedMs() > 0) {
-      this.drop();
+      this.invalidate();
     }
     return this.#lease.token;
   }
 
-  /** Notes for the next holder that are known to be in the store. */
-  get confirmed(): DutyNotes {
+  /** The notes for the next holder, as they are known to be in the store. */
+  get confirmedNotes(): DutyNotes {
     return this.#lease.confirmedNotes;
   }
 
   /** Stops acting as the holder until the row has been read again. */
-  drop(): void {
+  invalidate(): void {
     this.#lease.invalidate();
   }
 
@@ -97,7 +97,7 @@
   /**
    * Takes a new token, so that the platform rejects an earlier call that arrives late.
    */
-  renumber(): void {
+  requestNewToken(): void {
     this.#lease.requestNewToken();
   }
 
@@ -105,9 +105,9 @@
    * Carries out the steps that are due.
    *
    * @param notes - notes for the next holder, written if this instance is the holder
-   * @param givesUp - whether this instance must release the duties, or not acquire them
+   * @param mustRelease - whether this instance must release the duties, or not acquire them
    */
-  async step(notes: DutyNotes, givesUp: boolean): Promise<void> {
+  async step(notes: DutyNotes, mustRelease: boolean): Promise<void> {
     const { clock } = this.context;
     if (this.#isRunning || clock() < this.#pausedUntilMs) {
       return;
@@ -117,7 +117,7 @@
       let steps = 0;
       while (
         steps < MAX_CONSECUTIVE_STEPS &&
-        (await this.#runStep(notes, givesUp))
+        (await this.#runStep(notes, mustRelease))
       ) {
         steps += 1;
       }
@@ -137,8 +137,8 @@
   }
 
   /**
-   * Doesn't depend on the rank for the holder, which has to renew before its lease
-   * ends.
+   * Delay after a failed store call, in milliseconds. The holder uses the shortest one,
+   * whatever its rank, since it has to renew before its lease ends.
    */
   get #retryDelayMs(): number {
     const rank = this.#lease.token === null ? this.#rank : 0;
@@ -149,15 +149,15 @@
   }
 
   /** @returns whether another step may follow without a delay */
-  async #runStep(notes: DutyNotes, givesUp: boolean): Promise<boolean> {
+  async #runStep(notes: DutyNotes, mustRelease: boolean): Promise<boolean> {
     const { context, duties } = this;
     const { clock, metrics } = context;
     const { token } = this;
     const step = this.#lease.next({
       rank: () => this.#rank,
       latestHolding: duties.latestHolding,
-      notes: token === null ? this.confirmed : notes,
-      mustRelease: givesUp,
+      notes: token === null ? this.confirmedNotes : notes,
+      mustRelease,
     });
     if (step.kind === 'idle') {
       return false;
@@ -211,7 +211,7 @@
     metrics.dutyToken.set(token ?? 0);
     if (isHolder) {
       log.write('dutiesTaken', { token });
-      this.listener.onAcquired(this.confirmed);
+      this.listener.onAcquired(this.confirmedNotes);
       return;
     }
     const { instance, token: newest } = this.duties.latestHolding ?? {};
--- a/packages/gateway/src/duties/ReplicaOrdering.ts
+++ b/packages/gateway/src/duties/ReplicaOrdering.ts
@@ -200,7 +200,7 @@
     if (answer === null || answer === 'busy') {
       if (answer === null) {
         // If the platform executes the call late, it must not undo a later order.
-        this.keeper.renumber();
+        this.keeper.requestNewToken();
       }
       return false;
     }
--- a/packages/gateway/src/duties/UsageReporting.ts
+++ b/packages/gateway/src/duties/UsageReporting.ts
@@ -61,7 +61,7 @@
   async step(
     notes: DutyNotes,
   ): Promise<((notes: DutyNotes) => DutyNotes) | null> {
-    const usage = this.keeper.confirmed.decided.find(
+    const usage = this.keeper.confirmedNotes.decided.find(
       ({ window }) => window > (notes.reportedThrough ?? -1),
     );
     if (!usage || this.#isRunning) {
@@ -74,7 +74,7 @@
       );
       if (answer === 'refused') {
         // The platform has seen a higher token, so another instance holds the duties.
-        this.keeper.drop();
+        this.keeper.invalidate();
       }
       if (answer !== 'accepted') {
         return null;
