--- a/packages/gateway/src/GatewayContext.ts
+++ b/packages/gateway/src/GatewayContext.ts
@@ -31,8 +31,8 @@
   /** Whether the instance was asked to stop. */
   leaving: boolean;
   /**
-   * Times by which requests are admitted and must end before the stop; null
-   * while no stop is requested.
+   * When admission becomes stricter before the stop, and when requests must
+   * have ended; null while no stop is requested.
    */
   stopPlan: StopPlan | null;
 }
--- a/packages/gateway/src/backends/sendAttempt.ts
+++ b/packages/gateway/src/backends/sendAttempt.ts
@@ -19,8 +19,8 @@
 }
 
 /**
- * How an exchange with a backend server ended; `sent` tells whether anything of
- * the request may have left.
+ * How an exchange with a backend server ended; `sent` tells whether any part of
+ * the request may have been sent.
  */
 export type ExchangeEnd =
   | { readonly kind: 'complete' }
--- a/packages/gateway/src/forward/RequestRecorder.ts
+++ b/packages/gateway/src/forward/RequestRecorder.ts
@@ -26,7 +26,7 @@
   /** Whether a replica may have executed the request. */
   readonly mayHaveRun: boolean;
   /**
-   * Time of the first byte by the clock, in milliseconds; null before it
+   * Reading of the clock at the first byte, in milliseconds; null before it
    * arrived.
    */
   readonly firstByteMs: number | null;
--- a/packages/gateway/src/forward/ResponseTimings.ts
+++ b/packages/gateway/src/forward/ResponseTimings.ts
@@ -11,7 +11,7 @@
   constructor(private readonly clock: () => number) {}
 
   /**
-   * Time of the first byte by the clock, in milliseconds; null before it
+   * Reading of the clock at the first byte, in milliseconds; null before it
    * arrived.
    */
   get firstByteMs(): number | null {
--- a/packages/gateway/src/forward/placeWhenViewUsable.ts
+++ b/packages/gateway/src/forward/placeWhenViewUsable.ts
@@ -10,8 +10,8 @@
 export const STALE_VIEW_RETRY_MS = 50;
 
 /**
- * Places a request by this instance's view of the replicas, if the view is
- * current enough.
+ * Places a request according to this instance's view of the replicas, if the
+ * view is current enough.
  *
  * @param context - shared parts of the instance
  * @param request - the request
--- a/packages/gateway/src/front/readBody.ts
+++ b/packages/gateway/src/front/readBody.ts
@@ -18,10 +18,10 @@
 /**
  * Reads the complete body of a request.
  *
- * Bodies are small compared with the memory of an instance. A complete body can
- * be sent with its length and can be sent again to a second replica. A caller
- * that breaks off never leaves a partial request on the connection to a
- * replica.
+ * The body is buffered before the request is forwarded, since bodies are small
+ * compared with the memory of an instance. It can then be sent with its length,
+ * and again to a second replica, and a caller that disconnects never leaves a
+ * partial request on the connection to a replica.
  *
  * @param req - the request
  * @param maxBytes - limit for the body, in bytes
--- a/packages/gateway/src/ports/CallerDialect.ts
+++ b/packages/gateway/src/ports/CallerDialect.ts
@@ -13,7 +13,7 @@
 export interface RequestHead {
   /** Request id; null if the caller sent none. */
   readonly id: RequestId | null;
-  /** The caller's key; null if there is none. */
+  /** API key of the caller; null if it sent none. */
   readonly key: string | null;
   /**
    * How long the caller is prepared to wait, in milliseconds; null if not
--- a/packages/gateway/src/ports/DiscoveryStore.ts
+++ b/packages/gateway/src/ports/DiscoveryStore.ts
@@ -21,8 +21,8 @@
 }
 
 /**
- * Result of a watch if the store has discarded the history it needs; a full
- * read must follow.
+ * Result of a call for later changes if the store has discarded the history
+ * that it needs; a full read must follow.
  */
 export const HISTORY_GONE = 'historyGone';
 
--- a/packages/gateway/src/ports/Timers.ts
+++ b/packages/gateway/src/ports/Timers.ts
@@ -1,7 +1,7 @@
 /** Cancels a timer. */
 export type CancelTimer = () => void;
 
-/** Timers of an instance; tests replace them to run by a virtual clock. */
+/** Timers of an instance; tests replace them to run on a virtual clock. */
 export interface Timers {
   /** Runs a function once after a delay. */
   readonly after: (ms: number, run: () => void) => CancelTimer;
--- a/packages/gateway/src/side/chooseAddresses.ts
+++ b/packages/gateway/src/side/chooseAddresses.ts
@@ -29,18 +29,18 @@
   );
   const live = serving.filter(({ state }) => state === 'live');
   const suspects = serving.filter(({ state }) => state === 'suspect');
-  const isSound = live.length >= MIN_LIVE_SHARE * serving.length;
+  const areMostLive = live.length >= MIN_LIVE_SHARE * serving.length;
   const others = [
     ...rotated(live, context.router.board.random),
-    ...(isSound ? [] : suspects),
+    ...(areMostLive ? [] : suspects),
   ].map(({ callerAddress }) => callerAddress);
   return [...own, ...others].slice(0, MAX_ADDRESSES);
 }
 
 /**
  * Maximum time for which callers are told to keep addresses, in milliseconds. Some keep
- * them three times as long, and callers must have forgotten an instance that stops
- * within eight seconds.
+ * them three times as long, and a stopping instance leaves callers eight seconds to
+ * drop its address.
  */
 const MAX_ADDRESS_AGE_MS = 2000;
 
--- a/packages/gateway/src/state/PeerLoop.ts
+++ b/packages/gateway/src/state/PeerLoop.ts
@@ -35,7 +35,7 @@
 const ANSWER_TIMEOUT_MS = 400;
 /**
  * Consecutive probes without any sign of life after which a peer is suspected. With 1 %
- * datagram loss and four probes a second from each, a fleet of 195 instances suspects a
+ * datagram loss and four probes a second from each instance, a fleet of 195 suspects a
  * healthy peer about once in three minutes.
  */
 const MISSES_TO_SUSPECT = 3;
@@ -216,8 +216,8 @@
   }
 
   /**
-   * Whether to get the view from a store reader, before this instance has to read
-   * itself.
+   * Whether to request the view from a store reader now, so that this instance need not
+   * read the store itself.
    */
   #isReaderDue(): boolean {
     const { membership, router, settings } = this.context;
@@ -250,8 +250,9 @@
 
   #sendProbe(address: string, member: Member | null, viewOnly = false): void {
     const question = this.#probes.ask(address, member);
-    // Probes carry no changes: these would make up two thirds of the bytes. Changes are
-    // announced instead, and a peer that missed one requests it.
+    // With this instance's own versions, the probe carries no changes, which would make
+    // up two thirds of its bytes. Changes are announced instead, and a peer that missed
+    // one requests it.
     this.#send(
       address,
       { question, answerTo: 0, viewOnly },
@@ -312,8 +313,8 @@
   /**
    * Pulls everything that this instance lacks from a peer that is ahead.
    *
-   * Only one pull runs at a time: after a change every peer that announces it is ahead,
-   * and the same configuration would be transferred several times.
+   * Only one pull runs at a time: several peers announce the same change, and a pull
+   * from each would transfer the same configuration several times.
    */
   async #pull(address: string): Promise<void> {
     if (this.#isPulling) {
--- a/packages/gateway/src/state/PeerSocket.ts
+++ b/packages/gateway/src/state/PeerSocket.ts
@@ -16,9 +16,10 @@
 /**
  * Sends and receives datagrams between instances.
  *
- * Heartbeats go to randomly chosen members. With a connection to each of them, one of
- * thirty idle instances spent half of its CPU time (profile of 14 s) on opening
- * connections and on calls, and its memory grew with each member that it contacted.
+ * Datagrams need no connections: heartbeats go to randomly chosen members, and with a
+ * connection to each of them, one of thirty idle instances spent half of its CPU time
+ * (profile of 14 s) on opening connections and on calls, and its memory grew with each
+ * member that it contacted.
  */
 export class PeerSocket {
   readonly #socket: Socket;
--- a/packages/gateway/src/state/PeerState.ts
+++ b/packages/gateway/src/state/PeerState.ts
@@ -23,7 +23,7 @@
   fromLimits,
   fromStoreTime,
   fromReplicaFields,
-  toPeerWork,
+  toPeerUpdate,
   toDemands,
   toLimits,
   toStoreTime,
@@ -58,7 +58,7 @@
 
 /** What a datagram is sent for. */
 export interface DatagramPurpose {
-  /** Number of the probe that the datagram is; 0 if it requests no answer. */
+  /** Number of this probe; 0 if the datagram is no probe, so that it needs no answer. */
   readonly question: number;
   /** Number of the probe that the datagram answers; 0 if it is no answer. */
   readonly answerTo: number;
@@ -238,7 +238,7 @@
     membership.onMessage(fromHeartbeatMessage(heartbeat));
     const peer = brand<InstanceId>(heartbeat.instance);
     if (!state.viewOnly) {
-      router.onPeerUpdate(peer, toPeerWork(state));
+      router.onPeerUpdate(peer, toPeerUpdate(state));
     }
     router.board.crashes.onPeer(fromCrashFields(state));
     applyLimitReports(router.board, fromLimits(state.limits));
@@ -267,9 +267,9 @@
   /**
    * Applies the peer's reading of the store's clock and the age of its view.
    *
-   * If the peer's view is from a time that the store's clock cannot have reached yet by
-   * this instance's reading, that reading is wrong, since this process was suspended
-   * without noticing; the reading is discarded.
+   * The peer's view may be from a time that lies in the future by this instance's
+   * reading of the store's clock. This process was then suspended without noticing, so
+   * its reading is wrong and is discarded.
    */
   #receiveStoreTimes(state: proto.GatewayState, askedMs: number | null): void {
     const { board } = this.context.router;
--- a/packages/gateway/src/state/StoreReader.ts
+++ b/packages/gateway/src/state/StoreReader.ts
@@ -136,8 +136,8 @@
   async #stepConfiguration(): Promise<number> {
     const { board } = this.context.router;
     const ageMs = board.storeClock.ageOf(board.configurationAsOfMs);
-    // This holds before the first configuration is written, too: else all instances of
-    // a fleet that waits for it would keep calling the store.
+    // The delay applies before the first configuration is written, too. Otherwise all
+    // instances of a fleet that waits for it would keep calling the store.
     const dueInMs = this.#dueInMs(ageMs);
     if (dueInMs > 0) {
       return idleDelayMs(dueInMs);
@@ -166,7 +166,10 @@
     this.view.applyConfiguration(read.configuration, read.storeMs, 'store');
   }
 
-  /** Waits for a change, or reads the whole if the store no longer has the history. */
+  /**
+   * Waits for a new configuration, or reads the current one if there was no read before
+   * or the store no longer has the history.
+   */
   async #fetchConfiguration(waitMs: number): Promise<ConfigurationRead> {
     if (this.#watchedVersion === null) {
       return this.store.readConfiguration();
--- a/packages/gateway/src/state/ViewLease.ts
+++ b/packages/gateway/src/state/ViewLease.ts
@@ -97,7 +97,8 @@
       isCurrent,
       this.timers.sleep(RENEWAL_TIMEOUT_MS),
     ]);
-    // An answer that has already arrived is read only after the timers of this turn.
+    // An answer that has already arrived is read only after the timers of this turn of
+    // the event loop.
     await this.timers.nextTurn();
     this.#lastRenewalFailed = this.#state !== 'current';
     this.#renewal = null;
--- a/packages/gateway/src/state/createPeerLink.ts
+++ b/packages/gateway/src/state/createPeerLink.ts
@@ -17,9 +17,9 @@
   let server: FastifyInstance | null = null;
   let socket: PeerSocket | null = null;
   return {
-    listen: async ({ onDatagram, onPull, onSendError: onSendFault }) => {
+    listen: async ({ onDatagram, onPull, onSendError }) => {
       server = createPeerServer(onPull);
-      socket = new PeerSocket(onDatagram, onSendFault);
+      socket = new PeerSocket(onDatagram, onSendError);
       await server.listen({ host: address.host, port: address.port });
       await socket.listen(address);
     },
--- a/packages/gateway/src/state/dutyMessage.ts
+++ b/packages/gateway/src/state/dutyMessage.ts
@@ -19,13 +19,13 @@
 
 function toUsageFields({
   fleetClock,
-  latestHolding: news,
+  latestHolding,
   usage,
 }: DutyBoard): Pick<DutyFields, 'usage' | 'usageAsOfMs'> {
   return {
     usageAsOfMs: fleetClock.nowMs,
     usage: usage
-      .countsAfter(news?.decidedThrough ?? -1)
+      .countsAfter(latestHolding?.decidedThrough ?? -1)
       .map(({ window, counts }) => ({
         window,
         counts: Object.entries(counts).map(([organisation, count]) => ({
--- a/packages/gateway/src/state/gatewayState.ts
+++ b/packages/gateway/src/state/gatewayState.ts
@@ -183,7 +183,7 @@
 }
 
 /** @returns the load of another instance, and the load reports that it has */
-export function toPeerWork({
+export function toPeerUpdate({
   uses,
   demands,
   reports,
--- a/packages/gateway/src/wakeUpWatch.ts
+++ b/packages/gateway/src/wakeUpWatch.ts
@@ -10,10 +10,10 @@
  * A machine that was frozen resumes with an outdated view of the replicas and
  * considers it current, since the monotonic clock does not count the
  * suspension. The time of day does, so the offset between the clocks grows.
- * Setting the time of day forward has the same effect; it causes one needless
- * read and nothing else. The time since boot cannot be set, but Node.js reads
- * it from a file of the host, which keeps counting where a machine is simulated
- * or throttled.
+ * Setting the time of day forward has the same effect, but only causes one
+ * needless read. The time since boot cannot be set, but it is not used: Node.js
+ * reads it from a file of the host, which keeps counting where a machine is
+ * simulated or throttled.
  *
  * @param clock - monotonic clock, in milliseconds
  * @param timeOfDay - clock that also counts suspensions, in milliseconds
--- a/packages/gateway/tests/state/gatewayState.test.ts
+++ b/packages/gateway/tests/state/gatewayState.test.ts
@@ -8,7 +8,7 @@
 import { toDutyFields } from '../../src/state/dutyMessage.js';
 import {
   fromReplicaFields,
-  toPeerWork,
+  toPeerUpdate,
   toDemands,
   toStoreTime,
   toReplicaFields,
@@ -58,7 +58,7 @@
       answerTo: 0,
       viewOnly: false,
     });
-    const work = toPeerWork(GatewayState.decode(message.finish()));
+    const work = toPeerUpdate(GatewayState.decode(message.finish()));
     t.deepEqual(work.uses[0]?.unreadByRank, [0, 5889, 88]);
     t.is(work.uses[0]?.bornMs, 1_764_000_000_123);
     t.is(work.demands[0]?.tokensPerS, 10.25);
