--- a/packages/gateway/tests/backends/KeepAliveAgent.test.ts
+++ b/packages/gateway/tests/backends/KeepAliveAgent.test.ts
@@ -55,9 +55,9 @@
 };
 
 describe('KeepAliveAgent', ({ it, itAlone }) => {
-  // Guards against false timeouts: the connection opens within a millisecond,
-  // but the event loop is blocked for half a second and the timer fires before
-  // the event is processed.
+  // Guards against false timeouts ("no connection within 400 ms"): the
+  // connection opens within a millisecond, but the event loop is blocked for
+  // half a second and the timer fires before the event is processed.
   itAlone(
     'uses a connection that opened while the event loop was blocked',
     async t => {
--- a/packages/gateway/tests/backends/sendHttpRequest.test.ts
+++ b/packages/gateway/tests/backends/sendHttpRequest.test.ts
@@ -32,7 +32,7 @@
   }
 }
 
-describe('requestWhole', ({ itAlone }) => {
+describe('sendHttpRequest', ({ itAlone }) => {
   itAlone('rejects when no complete response arrives in time', async t => {
     await t.throwsAsync(send(() => undefined));
     await t.throwsAsync(
--- a/packages/gateway/tests/helpers/VirtualDuties.ts
+++ b/packages/gateway/tests/helpers/VirtualDuties.ts
@@ -86,7 +86,7 @@
     });
   }
 
-  /** The instance that holds the duties by the store; undefined if it isn't running. */
+  /** Instance that the store names as holder; undefined if it isn't running. */
   get holder(): VirtualMember | undefined {
     return this.members.find(
       ({ name, stop }) => name === this.platform.holder && stop !== null,
--- a/packages/gateway/tests/helpers/VirtualDutyPlatform.ts
+++ b/packages/gateway/tests/helpers/VirtualDutyPlatform.ts
@@ -68,7 +68,7 @@
     private readonly random: () => number,
   ) {}
 
-  /** Instance that holds the duties by the row; undefined before the first. */
+  /** Instance that the row names as holder; undefined before the first. */
   get holder(): string | undefined {
     return this.#row.holding?.instance;
   }
--- a/packages/gateway/tests/helpers/VirtualFleet.ts
+++ b/packages/gateway/tests/helpers/VirtualFleet.ts
@@ -50,7 +50,7 @@
   readonly linkBitsPerS?: number;
   /** Number of routes of the configuration; 1 if omitted. */
   readonly routes?: number;
-  /** Time that replicas take to answer; requests are only placed if omitted. */
+  /** Time that replicas take to answer; if omitted, requests are placed but not sent. */
   readonly answerMs?: number;
 }
 
@@ -75,7 +75,7 @@
   /** Time of the answer; infinite before. */
   answeredAtMs: number;
   /** Whether the answer stated a limit. */
-  namedLimit: boolean;
+  statedLimit: boolean;
   readonly instance: string;
   readonly replica: BackendServerId;
   readonly priority: number;
@@ -344,7 +344,7 @@
       const arrival: Arrival = {
         atMs: this.time.nowMs,
         answeredAtMs: Infinity,
-        namedLimit: false,
+        statedLimit: false,
         instance: context.settings.instance,
         replica: placed.load.replica.id,
         priority: request.priority,
@@ -356,7 +356,7 @@
         if (this.#inFlight.delete(inFlight)) {
           const perS = this.#limits.get(placed.load.replica.id) ?? null;
           router.onLimit(attempt, perS);
-          arrival.namedLimit = perS !== null;
+          arrival.statedLimit = perS !== null;
           arrival.answeredAtMs = this.time.nowMs;
           router.onReported(attempt, { running: 3, waiting: 0, slots: 64 });
           settle(answered);
--- a/packages/gateway/tests/helpers/limitUse.ts
+++ b/packages/gateway/tests/helpers/limitUse.ts
@@ -27,7 +27,7 @@
   arrivals: readonly Arrival[],
 ): ReadonlyMap<string, number> {
   return arrivals
-    .filter(({ namedLimit }) => namedLimit)
+    .filter(({ statedLimit: namedLimit }) => namedLimit)
     .reduce(
       (learnt, { instance, answeredAtMs }) =>
         learnt.set(
--- a/packages/gateway/tests/startGateway.test.ts
+++ b/packages/gateway/tests/startGateway.test.ts
@@ -37,8 +37,8 @@
 const readNow = () => ({ version: 1, storeMs: performance.now() });
 
 /**
- * Starts an instance and counts the entries that it writes to a store with the
- * given ones.
+ * Starts an instance with a store that already lists the given entries, and
+ * counts the entries that it writes.
  */
 async function countAnnouncements(
   port: number,
@@ -81,8 +81,8 @@
 
 describe('startGateway', ({ itAlone }) => {
   // Guards against load on the store when 200 instances restart together after
-  // a power failure: each wrote an entry that was already there before it could
-  // serve a caller.
+  // a power failure: before it could serve a caller, each wrote an entry that
+  // the store already had.
   itAlone(
     'does not announce an instance whose entry is in the store',
     async t => {
--- a/packages/gateway/tests/state/crashesInForce.test.ts
+++ b/packages/gateway/tests/state/crashesInForce.test.ts
@@ -15,12 +15,15 @@
  * Pauses between repeats; most are shorter than the time in which crash reports spread.
  */
 const PAUSES_MS = [5, 40, 400, 1500];
-/** Requests that may still be sent after the third crash should be known everywhere. */
+/**
+ * Number of requests that may still reach a replica after the time by which all
+ * instances must know the third crash.
+ */
 const MAX_LATE = 3;
 
 interface Outcome {
   readonly crashes: number;
-  /** Requests that reached a replica too long after the third crash. */
+  /** Requests that reached a replica after all instances must know the third crash. */
   readonly late: number;
 }
 
@@ -29,11 +32,11 @@
  * fleet.
  *
  * @param conditions - size and seed of the fleet
- * @param contactMs - time after the third crash within which all instances must know it
+ * @param propagationMs - time after the third crash within which all instances must know it
  */
 async function repeatCrashing(
   conditions: Pick<FleetConditions, 'instances' | 'seed'>,
-  contactMs: number,
+  propagationMs: number,
 ): Promise<Outcome> {
   const fleet = new VirtualFleet({
     replicas: REPLICAS,
@@ -71,28 +74,31 @@
     const pause = Math.floor(random() * PAUSES_MS.length);
     await fleet.time.run(PAUSES_MS[pause] ?? 0);
   }
-  const fromMs = (crashedAtMs[2] ?? Infinity) + contactMs;
+  const fromMs = (crashedAtMs[2] ?? Infinity) + propagationMs;
   return {
     crashes: crashedAtMs.length,
     late: reachedAtMs.filter(atMs => atMs > fromMs).length,
   };
 }
 
-// Guards against a request that crashes one replica after another, since its repeats
-// arrive at other instances under new ids, and these don't know what ran at the crashed
-// replicas.
+// Guards against a request that crashes one replica after another: its repeats arrive
+// under new ids at other instances, which don't know by themselves what ran at the
+// crashed replicas.
 describe('a request that has crashed three replicas is no longer sent', ({
   itAlone,
 }) => {
   const cases = [
-    { instances: 6, contactMs: 3000, seeds: [1, 2, 3, 4] },
-    { instances: 60, contactMs: 4000, seeds: [1, 2] },
-    { instances: 195, contactMs: 5000, seeds: [1] },
+    { instances: 6, propagationMs: 3000, seeds: [1, 2, 3, 4] },
+    { instances: 60, propagationMs: 4000, seeds: [1, 2] },
+    { instances: 195, propagationMs: 5000, seeds: [1] },
   ];
-  cases.forEach(({ instances, contactMs, seeds }) => {
+  cases.forEach(({ instances, propagationMs, seeds }) => {
     itAlone(`at ${instances} instances`, async t => {
       for (const seed of seeds) {
-        const outcome = await repeatCrashing({ instances, seed }, contactMs);
+        const outcome = await repeatCrashing(
+          { instances, seed },
+          propagationMs,
+        );
         t.true(outcome.crashes >= 3);
         t.true(outcome.late <= MAX_LATE, JSON.stringify(outcome));
       }
--- a/packages/gateway/tests/state/limitsInForce.test.ts
+++ b/packages/gateway/tests/state/limitsInForce.test.ts
@@ -31,7 +31,7 @@
   /** Number of replicas that state a limit. */
   readonly limited: number;
   /** Time after which all instances must know the limits. */
-  readonly contactMs: number;
+  readonly propagationMs: number;
   readonly seed: number;
   /** Mean duration of stalls; none if omitted. */
   readonly meanStallMs?: number;
@@ -39,7 +39,7 @@
 
 /** Makes some replicas state a limit, at ten requests per second from each instance. */
 async function runWithLimits(load: Load): Promise<Outcome> {
-  const { instances, replicas, limited, contactMs, seed } = load;
+  const { instances, replicas, limited, propagationMs, seed } = load;
   const fleet = new VirtualFleet({
     instances,
     replicas,
@@ -57,8 +57,8 @@
   limitedIds.forEach(id => {
     fleet.limit(id, LIMIT_PER_S);
   });
-  const fromMs = fleet.time.nowMs + contactMs;
-  await fleet.time.run(contactMs + LOAD_MS);
+  const fromMs = fleet.time.nowMs + propagationMs;
+  await fleet.time.run(propagationMs + LOAD_MS);
   const perReplica = groupByReplica(fleet.arrivals);
   const counted = fleet.arrivals.filter(({ atMs }) => atMs >= fromMs);
   const atLimited = counted.filter(({ replica }) =>
@@ -79,16 +79,16 @@
   itAlone,
 }) => {
   const sizes = [
-    { instances: 6, replicas: 4, contactMs: 3000, seeds: [1, 2] },
-    { instances: 60, replicas: 12, contactMs: 4000, seeds: [1] },
-    { instances: 195, replicas: 12, contactMs: 5000, seeds: [1] },
+    { instances: 6, replicas: 4, propagationMs: 3000, seeds: [1, 2] },
+    { instances: 60, replicas: 12, propagationMs: 4000, seeds: [1] },
+    { instances: 195, replicas: 12, propagationMs: 5000, seeds: [1] },
   ];
-  sizes.forEach(({ instances, replicas, contactMs, seeds }) => {
+  sizes.forEach(({ instances, replicas, propagationMs, seeds }) => {
     itAlone(
       `with limits at two of ${replicas} replicas and ${instances} instances`,
       async t => {
         for (const seed of seeds) {
-          const load = { instances, replicas, contactMs, seed };
+          const load = { instances, replicas, propagationMs, seed };
           const { peaks, othersPerS } = await runWithLimits({
             ...load,
             limited: 2,
@@ -113,7 +113,7 @@
           const load = {
             instances,
             replicas,
-            contactMs,
+            propagationMs,
             seed,
             limited: replicas,
           };
--- a/packages/gateway/tests/state/peerBytes.test.ts
+++ b/packages/gateway/tests/state/peerBytes.test.ts
@@ -10,8 +10,8 @@
 const READERS = 2;
 const SECONDS = 3;
 
-// Guards against readers of the store that answer each probe of an outdated instance
-// with all load data: the first reader of 195 instances sent 325 KB/s, the median
+// Guards against readers of the store that answer each probe of an instance whose view
+// is older than a second with all load data: the first reader of 195 instances sent 325 KB/s, the median
 // instance 14. On a link of 10 Mbit/s, replicas then learned 0.8 s late that a reader had
 // closed a connection, and kept working for callers that had left.
 describe('control traffic between instances', ({ it }) => {
--- a/packages/gateway/tests/wakeUpWatch.test.ts
+++ b/packages/gateway/tests/wakeUpWatch.test.ts
@@ -2,7 +2,7 @@
 
 import { createSuspensionDetector } from '../src/wakeUpWatch.js';
 
-describe('createWakeUpWatch', ({ it }) => {
+describe('createSuspensionDetector', ({ it }) => {
   it('reports the duration of a suspension once', t => {
     // Guards against requests to replicas that have left: the monotonic clock
     // of a frozen machine stops too, so its outdated view looks current after
@@ -36,9 +36,9 @@
   });
 
   it('reports no suspension while both clocks of the process advance equally', t => {
-    // Guards against needless reads of the store and calls to peers: on
-    // throttled machines, a clock read from a file of the host keeps counting
-    // while the clocks of the process do not.
+    // Guards against needless reads of the store and calls to peers, ten times
+    // a second: on throttled machines, a clock read from a file of the host
+    // keeps counting while the clocks of the process do not.
     let steadyMs = 0;
     const takeSuspendedMs = createSuspensionDetector(
       () => steadyMs,
