--- a/packages/bench/src/load/CallerAnswer.ts
+++ b/packages/bench/src/load/CallerAnswer.ts
@@ -2,17 +2,18 @@
 
 import type { Outcome } from '../report/ClassTally.js';
 
-/** What one caller experienced, with the evidence for the promises. */
+/** Outcome of one call as its caller saw it, with what is needed to check the promises. */
 export interface CallerAnswer {
   readonly outcome: Outcome;
-  /** Numbered code of a refusal, 0 where there was none. */
+  /** Error code of a refusal; 0 if there was none. */
   readonly code: number;
+  /** Whether the call ran at a backend server; null if the caller can't tell. */
   readonly ran: Ran | null;
-  /** A fault in the answer itself, which no refusal excuses. */
+  /** Defect of the answer; null for complete answers, refusals and calls that the caller left. */
   readonly fault: string | null;
 }
 
-/** An answer that came whole. */
+/** Creates the result of a call that was answered completely. */
 export function wholeAnswer(
   tokens: number,
   firstTokenMs: number,
@@ -26,7 +27,7 @@
   };
 }
 
-/** An honest refusal. */
+/** Creates the result of a call that was refused with an error code. */
 export function refusedAnswer(
   code: number,
   ran: Ran,
@@ -35,12 +36,12 @@
   return { outcome: { kind: 'refused', tokens }, code, ran, fault: null };
 }
 
-/** An answer that is neither whole nor an honest refusal. */
+/** Creates the result of a call whose answer is neither complete nor a valid refusal. */
 export function brokenAnswer(fault: string, tokens: number): CallerAnswer {
   return { outcome: { kind: 'broken', tokens }, code: 0, ran: null, fault };
 }
 
-/** The caller ran out of patience and closed the connection. */
+/** Creates the result of a call that the caller aborted because it took too long. */
 export function leftAnswer(tokens: number): CallerAnswer {
   return { outcome: { kind: 'left', tokens }, code: 0, ran: null, fault: null };
 }
--- a/packages/bench/src/load/LoadRunner.ts
+++ b/packages/bench/src/load/LoadRunner.ts
@@ -8,29 +8,29 @@
 import { callService } from './callService.js';
 import { nextArrivalMs } from './nextArrivalMs.js';
 
-/** One finished call with what is needed to check promises afterwards. */
+/** One finished call, with what is needed to check the promises afterwards. */
 export interface FinishedCall {
   readonly stream: LoadStream;
   readonly answer: CallerAnswer;
   readonly idempotencyKey: string;
 }
 
-/** Told after each call. */
+/** Called after each finished call. */
 export type CallObserver = (call: FinishedCall) => void;
 
 const MS_PER_SECOND = 1000;
 const CHARACTERS_PER_TOKEN = 4;
 const SHARED_PREFIX = 'You answer briefly and only from the given facts. ';
-const CONNECT_TRIES = 3;
+const MAX_CONNECT_ATTEMPTS = 3;
 
 /**
- * Sends open-loop load: each stream's calls start when their time has come,
- * whether or not earlier ones have ended.
+ * Sends open-loop load: the calls of a stream start at their arrival times,
+ * whether or not earlier calls have ended.
  */
 export class LoadRunner {
   readonly #addresses: AddressBook;
-  readonly #running = new Set<Promise<void>>();
-  #calls = 0;
+  readonly #pending = new Set<Promise<void>>();
+  #callCount = 0;
 
   constructor(
     private readonly settings: LoadSettings,
@@ -39,14 +39,14 @@
     this.#addresses = new AddressBook(settings.entryUrls);
   }
 
-  /** Runs every stream to its end and waits for the last call. */
+  /** Runs all streams to their end and waits for the last call. */
   async run(): Promise<void> {
     await Promise.all(
       this.settings.streams.map((stream, index) =>
         this.#runStream(stream, this.settings.seed + index),
       ),
     );
-    await Promise.all(this.#running);
+    await Promise.all(this.#pending);
   }
 
   async #runStream(stream: LoadStream, seed: number): Promise<void> {
@@ -63,38 +63,45 @@
   }
 
   #start(stream: LoadStream): void {
-    this.#calls += 1;
-    const name = `${stream.organisation}-${this.settings.seed}-${this.#calls}`;
-    const call = this.#call(stream, name).then(answer => {
-      this.observe({ stream, answer, idempotencyKey: name });
+    this.#callCount += 1;
+    const idempotencyKey = `${stream.organisation}-${this.settings.seed}-${this.#callCount}`;
+    const call = this.#call(stream, idempotencyKey).then(answer => {
+      this.observe({ stream, answer, idempotencyKey });
     });
-    this.#running.add(call);
-    void call.finally(() => this.#running.delete(call));
+    this.#pending.add(call);
+    void call.finally(() => this.#pending.delete(call));
   }
 
-  /** Another address is tried only when no connection was made. */
-  async #call(stream: LoadStream, name: string): Promise<CallerAnswer> {
-    const urls = await this.#addresses.inOrder();
-    let last = 'no address';
-    for (const url of urls.slice(0, CONNECT_TRIES)) {
+  /** Tries the next address only if a call failed before any token of the answer arrived. */
+  async #call(
+    stream: LoadStream,
+    idempotencyKey: string,
+  ): Promise<CallerAnswer> {
+    const urls = await this.#addresses.urlsToTry();
+    let lastError = 'no address to call';
+    for (const url of urls.slice(0, MAX_CONNECT_ATTEMPTS)) {
       try {
-        return await this.#send(stream, url, name);
+        return await this.#send(stream, url, idempotencyKey);
       } catch (err) {
-        last = String(err);
-        this.#addresses.distrust();
+        lastError = String(err);
+        this.#addresses.invalidate();
       }
     }
-    return brokenAnswer(last, 0);
+    return brokenAnswer(lastError, 0);
   }
 
-  #send(stream: LoadStream, url: string, name: string): Promise<CallerAnswer> {
+  #send(
+    stream: LoadStream,
+    url: string,
+    idempotencyKey: string,
+  ): Promise<CallerAnswer> {
     if ('service' in stream.target) {
       return callService({
         url,
         stream,
         service: stream.target.service,
-        idempotencyKey: name,
-        body: `call ${name}`,
+        idempotencyKey,
+        body: `call ${idempotencyKey}`,
       });
     }
     const filler = 'x'.repeat(stream.promptTokens * CHARACTERS_PER_TOKEN);
@@ -104,7 +111,7 @@
       model: stream.target.model,
       messages: [
         { role: 'system', content: SHARED_PREFIX + stream.organisation },
-        { role: 'user', content: `${name} ${filler}` },
+        { role: 'user', content: `${idempotencyKey} ${filler}` },
       ],
     });
   }
--- a/packages/bench/src/load/callChat.ts
+++ b/packages/bench/src/load/callChat.ts
@@ -17,6 +17,7 @@
 const OK = 200;
 const DONE = '[DONE]';
 
+/** Body of a refusal. */
 export const errorSchema = z.object({
   error: z.object({ code: z.number(), ran: z.enum(['maybe', 'no', 'yes']) }),
 });
@@ -27,7 +28,7 @@
   ),
 });
 
-/** One chat call. */
+/** Parameters of one chat call. */
 export interface ChatCall {
   readonly url: string;
   readonly stream: LoadStream;
@@ -35,22 +36,22 @@
   readonly messages: readonly ChatMessage[];
 }
 
-/** Collects one streamed answer. */
+/** Parses one streamed answer and records its timing. */
 class AnswerReader {
   text = '';
   tokens = 0;
   done = false;
   refusal: z.infer<typeof errorSchema> | null = null;
-  firstAtMs = 0;
-  lastAtMs = 0;
+  firstTokenAtMs = 0;
+  lastTokenAtMs = 0;
   readonly #parser = createParser({
     onEvent: ({ data }) => {
       this.#read(data);
     },
   });
 
-  feed(bytes: string): void {
-    this.#parser.feed(bytes);
+  push(chunk: string): void {
+    this.#parser.feed(chunk);
   }
 
   #read(data: string): void {
@@ -68,14 +69,14 @@
     if (content === '') {
       return;
     }
-    this.lastAtMs = performance.now();
-    this.firstAtMs ||= this.lastAtMs;
+    this.lastTokenAtMs = performance.now();
+    this.firstTokenAtMs ||= this.lastTokenAtMs;
     this.text += content;
     this.tokens = this.text.split(' ').length - 1;
   }
 }
 
-function judge(
+function toCallerAnswer(
   reader: AnswerReader,
   call: ChatCall,
   startedMs: number,
@@ -85,30 +86,30 @@
     return refusedAnswer(code, ran, reader.tokens);
   }
   if (!reader.done) {
-    return brokenAnswer('stream ended without an end mark', reader.tokens);
+    return brokenAnswer('stream ended without [DONE]', reader.tokens);
   }
   if (reader.text !== expectedAnswer(call.messages, call.stream.maxTokens)) {
     return brokenAnswer('answer differs from the expected one', reader.tokens);
   }
-  const gaps = Math.max(1, reader.tokens - 1);
+  const gapCount = Math.max(1, reader.tokens - 1);
   return wholeAnswer(
     reader.tokens,
-    reader.firstAtMs - startedMs,
-    (reader.lastAtMs - reader.firstAtMs) / gaps,
+    reader.firstTokenAtMs - startedMs,
+    (reader.lastTokenAtMs - reader.firstTokenAtMs) / gapCount,
   );
 }
 
 /**
- * Sends one chat call as a caller would and checks the answer byte for byte.
+ * Sends one chat call and checks that the answer is the expected text.
  *
- * @param call - where to and what
- * @returns what the caller experienced
- * @throws when the connection could not be made, so another address may be tried
+ * @param call - address and content of the call
+ * @returns the outcome as the caller saw it
+ * @throws if the call failed before the first token, so another address may be tried
  */
 export async function callChat(call: ChatCall): Promise<CallerAnswer> {
   const { stream } = call;
   const startedMs = performance.now();
-  const patience = AbortSignal.timeout(stream.patienceMs);
+  const timeout = AbortSignal.timeout(stream.patienceMs);
   const reader = new AnswerReader();
   try {
     const res = await request(`${call.url}/v1/chat/completions`, {
@@ -120,19 +121,19 @@
         max_tokens: stream.maxTokens,
         stream: true,
       }),
-      signal: patience,
+      signal: timeout,
     });
     if (res.statusCode !== OK) {
       const { error } = errorSchema.parse(await res.body.json());
       return refusedAnswer(error.code, error.ran, 0);
     }
     res.body.setEncoding('utf8');
-    for await (const bytes of res.body) {
-      reader.feed(String(bytes));
+    for await (const chunk of res.body) {
+      reader.push(String(chunk));
     }
-    return judge(reader, call, startedMs);
+    return toCallerAnswer(reader, call, startedMs);
   } catch (err) {
-    if (patience.aborted) {
+    if (timeout.aborted) {
       return leftAnswer(reader.tokens);
     }
     if (reader.tokens > 0) {
--- a/packages/bench/src/load/callService.ts
+++ b/packages/bench/src/load/callService.ts
@@ -16,8 +16,8 @@
 
 const echoSchema = z.object({ body: z.string().nullable() });
 
-/** One call of a plain service. */
-export interface ServiceCallSpec {
+/** Parameters of one call to a plain service. */
+export interface ServiceCall {
   readonly url: string;
   readonly stream: LoadStream;
   readonly service: string;
@@ -25,24 +25,22 @@
   readonly body: string;
 }
 
-function echoed(value: unknown, sent: string): boolean {
+function isEchoOf(value: unknown, sent: string): boolean {
   const parsed = echoSchema.safeParse(value);
   return parsed.success && parsed.data.body === sent;
 }
 
 /**
- * Calls a plain service as a caller would and checks the echo.
+ * Calls the echo endpoint of a plain service and checks the reply.
  *
- * @param call - where to and what
- * @returns what the caller experienced
- * @throws when the connection could not be made
+ * @param call - address and content of the call
+ * @returns the outcome as the caller saw it
+ * @throws if no reply could be read, so another address may be tried
  */
-export async function callService(
-  call: ServiceCallSpec,
-): Promise<CallerAnswer> {
+export async function callService(call: ServiceCall): Promise<CallerAnswer> {
   const { stream } = call;
   const startedMs = performance.now();
-  const patience = AbortSignal.timeout(stream.patienceMs);
+  const timeout = AbortSignal.timeout(stream.patienceMs);
   try {
     const res = await request(`${call.url}/services/${call.service}/echo`, {
       method: 'POST',
@@ -52,7 +50,7 @@
         'idempotency-key': call.idempotencyKey,
       },
       body: call.body,
-      signal: patience,
+      signal: timeout,
     });
     const body = await res.body.json();
     const refusal = errorSchema.safeParse(body);
@@ -60,12 +58,12 @@
       const { code, ran } = refusal.data.error;
       return refusedAnswer(code, ran, 0);
     }
-    if (res.statusCode !== OK || !echoed(body, call.body)) {
-      return brokenAnswer('the reply is not the echo of this call', 0);
+    if (res.statusCode !== OK || !isEchoOf(body, call.body)) {
+      return brokenAnswer('the reply does not echo the body of the call', 0);
     }
     return wholeAnswer(1, performance.now() - startedMs, 0);
   } catch (err) {
-    if (patience.aborted) {
+    if (timeout.aborted) {
       return leftAnswer(0);
     }
     throw err;
--- a/packages/bench/src/load/callerHeaders.ts
+++ b/packages/bench/src/load/callerHeaders.ts
@@ -1,6 +1,6 @@
 import type { LoadStream } from '@jujubecroft/settings';
 
-/** Headers that every call of a stream carries. */
+/** Headers of every call in a stream: key, content type and request class. */
 export function callerHeaders(
   stream: LoadStream,
 ): Readonly<Record<string, string>> {
--- a/packages/bench/src/load/nextArrivalMs.ts
+++ b/packages/bench/src/load/nextArrivalMs.ts
@@ -1,4 +1,4 @@
-/** Rates of a stream; both real and simulated streams have them. */
+/** Arrival rates of a stream, real or simulated. */
 export interface StreamRates {
   readonly requestsPerSecond: number;
   readonly burst?:
@@ -23,15 +23,15 @@
 }
 
 /**
- * Draws the next arrival of a Poisson stream whose rate rises in a burst.
+ * Draws the next arrival of a Poisson process whose rate changes during a burst.
  *
- * Candidates are drawn at the highest rate and thinned out, so that a burst
- * begins on time after a long gap as well.
+ * Candidates are drawn at the highest rate and thinned, so that a burst starts on
+ * time even after a long gap.
  *
- * @param stream - rates
- * @param afterMs - the arrival before
- * @param random - seeded source
- * @returns time of the next arrival
+ * @param stream - rates of the stream
+ * @param afterMs - time of the previous arrival, in milliseconds
+ * @param random - seeded random source
+ * @returns time of the next arrival, in milliseconds
  */
 export function nextArrivalMs(
   stream: StreamRates,
--- a/packages/bench/src/measure/LoadedRouter.ts
+++ b/packages/bench/src/measure/LoadedRouter.ts
@@ -12,32 +12,36 @@
 } from '@jujubecroft/types';
 import { brand, createRandom } from '@jujubecroft/types';
 
-const ORGANISATIONS = 510;
-const INSTANCES = 370;
-const DOMAINS = 6;
-const LONG_MS = 1e9;
+const ORGANISATION_COUNT = 510;
+const INSTANCE_COUNT = 370;
+const FAILURE_DOMAIN_COUNT = 6;
+const UNLIMITED = 1e9;
 const MODEL = brand<ModelId>('model');
 
-/** Many organisations, so that every queue structure is in use. */
+/** Enough organisations that every queue structure is in use. */
 function organisations(): readonly Organisation[] {
-  return Array.from({ length: ORGANISATIONS }, (_, index) => ({
+  return Array.from({ length: ORGANISATION_COUNT }, (_, index) => ({
     kind: 'organisation',
     id: brand<OrganisationId>(`org-${index}`),
     keySha256: '0'.repeat(64),
     weight: 1 + (index % 3),
-    limits: { requestsPerSecond: LONG_MS, tokensPerSecond: LONG_MS },
+    limits: { requestsPerSecond: UNLIMITED, tokensPerSecond: UNLIMITED },
   }));
 }
 
-/** A router with all slots taken and a queue of the wanted length. */
+/** A router with all slots taken and a queue of a given length. */
 export class LoadedRouter {
   readonly router: Router;
   readonly running: { id: RequestId; attempt: number }[] = [];
   #nowMs = 0;
   #sequence = 0;
 
+  /**
+   * @param replicas - number of backend servers
+   * @param queued - length of the queue, in requests
+   */
   constructor(replicas: number, queued: number) {
-    const instances = Array.from({ length: INSTANCES }, (_, index) =>
+    const instances = Array.from({ length: INSTANCE_COUNT }, (_, index) =>
       brand<InstanceId>(`entry-${index}`),
     );
     const [instance = brand<InstanceId>('entry-0')] = instances;
@@ -68,7 +72,7 @@
   submit(): void {
     this.#sequence += 1;
     this.#nowMs += 0.01;
-    const index = this.#sequence % ORGANISATIONS;
+    const index = this.#sequence % ORGANISATION_COUNT;
     this.router.submit({
       id: brand<RequestId>(`r${this.#sequence}`),
       organisation: brand<OrganisationId>(`org-${index}`),
@@ -81,12 +85,12 @@
     });
   }
 
-  /** One whole decision: a request ends, the next goes out, a new one comes. */
+  /** Runs one full decision cycle: a request ends, the next is dispatched, a new one is queued. */
   decide(): void {
-    const done = this.running.shift();
-    if (done) {
-      this.router.onTokens(done.id, done.attempt, 1);
-      this.router.onFinished(done.id, done.attempt);
+    const finished = this.running.shift();
+    if (finished) {
+      this.router.onTokens(finished.id, finished.attempt, 1);
+      this.router.onFinished(finished.id, finished.attempt);
     }
     this.submit();
   }
@@ -107,9 +111,9 @@
         id: brand<ClassId>(`class-${tier}`),
         tier,
         idempotent: true,
-        firstTokenTargetMs: LONG_MS,
-        betweenTokensTargetMs: LONG_MS,
-        maxQueueMs: LONG_MS,
+        firstTokenTargetMs: UNLIMITED,
+        betweenTokensTargetMs: UNLIMITED,
+        maxQueueMs: UNLIMITED,
         guaranteedShare: 0.02,
         maxOutputTokens: 1000,
       })),
@@ -118,7 +122,9 @@
         kind: 'backendServer',
         id: brand<BackendServerId>(`engine-${index}`),
         url: 'http://127.0.0.1:1',
-        failureDomain: brand<FailureDomainId>(`domain-${index % DOMAINS}`),
+        failureDomain: brand<FailureDomainId>(
+          `domain-${index % FAILURE_DOMAIN_COUNT}`,
+        ),
         models: [MODEL],
         services: [],
         capacity: 85,
--- a/packages/bench/src/measure/Measurement.ts
+++ b/packages/bench/src/measure/Measurement.ts
@@ -1,13 +1,13 @@
-/** One measured point: the size that was set and the cost that was read. */
+/** One measured point: a size and the cost that was measured at it. */
 export interface Point {
   readonly size: number;
-  /** Median of the repeats. */
+  /** Median of the readings. */
   readonly value: number;
   readonly min: number;
   readonly max: number;
 }
 
-/** A cost over a size, with the line through its points. */
+/** Cost as a function of size, with the line that is fitted to the points. */
 export interface Slope {
   readonly name: string;
   readonly sizeUnit: string;
@@ -15,9 +15,9 @@
   readonly points: readonly Point[];
   /** Cost per unit of size. */
   readonly slope: number;
-  /** Cost at size 0. */
+  /** Cost at size 0 on the fitted line. */
   readonly intercept: number;
-  /** 1 when the line explains the points fully. */
+  /** Coefficient of determination; 1 if all points are on the line. */
   readonly rSquared: number;
 }
 
--- a/packages/bench/src/measure/ProcessFleet.ts
+++ b/packages/bench/src/measure/ProcessFleet.ts
@@ -10,7 +10,7 @@
 
 import { sha256 } from '../demo/demoDeployment.js';
 
-/** How many processes of each kind. */
+/** Number of processes of each kind, and the timing of the engines. */
 export interface ProcessFleetSize {
   readonly instances: number;
   readonly engines: number;
@@ -20,7 +20,7 @@
 
 const HOST = '127.0.0.1';
 const TOKEN = 'process-fleet-token';
-const READY_TRIES = 200;
+const READY_ATTEMPTS = 200;
 const READY_PAUSE_MS = 50;
 const OK = 200;
 
@@ -28,7 +28,7 @@
   new Promise(resolve => setTimeout(resolve, ms));
 
 /**
- * Platform, engines, services and instances as processes of their own, for
+ * Runs platform, engines, services and instances as separate processes, for
  * measurements. Only experiments start processes; the product never does.
  */
 export class ProcessFleet {
@@ -36,7 +36,7 @@
   readonly #children: ChildProcess[] = [];
   readonly #folder = mkdtempSync(path.join(tmpdir(), 'jujubecroft-'));
 
-  /** @param basePort - first of the ports that the fleet takes */
+  /** @param basePort - first port of the range that the fleet uses */
   constructor(private readonly basePort: number) {}
 
   get platformUrl(): string {
@@ -57,37 +57,42 @@
 
   async start(size: ProcessFleetSize): Promise<void> {
     this.#startPlatform(size.instances);
-    this.#times(size.engines, index => {
+    this.#repeat(size.engines, index => {
       this.#startEngine(index, size.engineModel);
     });
-    this.#times(size.services, index => {
+    this.#repeat(size.services, index => {
       this.#startService(index);
     });
-    await this.#whenUp(`${this.platformUrl}/instances`);
+    await this.#waitUntilReady(`${this.platformUrl}/instances`);
     await Promise.all(
       Array.from({ length: size.engines }, (_, index) =>
-        this.#whenUp(`${this.engineUrl(index)}/load`),
+        this.#waitUntilReady(`${this.engineUrl(index)}/load`),
       ),
     );
-    this.#times(size.instances, index => {
+    this.#repeat(size.instances, index => {
       this.#startInstance(index);
     });
     await Promise.all(
       Array.from({ length: size.instances }, (_, index) =>
-        this.#whenUp(`${this.callerUrl(index)}/health`),
+        this.#waitUntilReady(`${this.callerUrl(index)}/health`),
       ),
     );
   }
 
   async apply(deployment: Deployment): Promise<void> {
-    const connection = new OperatorConnection(this.#control(0), TOKEN);
+    const connection = new OperatorConnection(this.#controlAddress(0), TOKEN);
     await applyDeployment(connection, deployment);
     connection.close();
   }
 
-  /** Runs a load from a process of its own and returns what it printed as JSON. */
+  /**
+   * Runs a load in a separate process.
+   *
+   * @param settings - settings of the load
+   * @returns the JSON that the process printed
+   */
   async load(settings: object): Promise<unknown> {
-    const file = this.#write(`load-${this.#children.length}`, settings);
+    const file = this.#writeSettings(`load-${this.#children.length}`, settings);
     const child = this.#spawn(['load', file, '--json']);
     const chunks: string[] = [];
     child.stdout?.setEncoding('utf8');
@@ -106,20 +111,20 @@
   }
 
   #startPlatform(instances: number): void {
-    this.#run('stand-in', 'platform', {
+    this.#startStandIn('stand-in', 'platform', {
       kind: 'platform',
       listen: { host: HOST, port: this.basePort },
       instances: Array.from({ length: instances }, (_, index) => ({
         id: `entry-${index}`,
-        failureDomain: this.#domain(index),
+        failureDomain: this.#failureDomain(index),
         callerAddress: this.callerUrl(index),
-        peerAddress: this.#control(index),
+        peerAddress: this.#controlAddress(index),
       })),
     });
   }
 
   #startEngine(index: number, model: Readonly<Record<string, number>>): void {
-    this.#run('stand-in', 'engine', {
+    this.#startStandIn('stand-in', 'engine', {
       kind: 'engine',
       id: `engine-${index}`,
       listen: { host: HOST, port: this.basePort + 1 + index },
@@ -129,7 +134,7 @@
   }
 
   #startService(index: number): void {
-    this.#run('stand-in', 'service', {
+    this.#startStandIn('stand-in', 'service', {
       kind: 'service',
       id: `stock-${index}`,
       listen: { host: HOST, port: this.basePort + 50 + index },
@@ -138,10 +143,10 @@
   }
 
   #startInstance(index: number): void {
-    const file = this.#write(`instance-${index}`, {
+    const file = this.#writeSettings(`instance-${index}`, {
       kind: 'instance',
       instance: `entry-${index}`,
-      failureDomain: this.#domain(index),
+      failureDomain: this.#failureDomain(index),
       callers: { host: HOST, port: this.basePort + 100 + index },
       control: { host: HOST, port: this.basePort + 300 + index },
       platformUrl: this.platformUrl,
@@ -154,9 +159,12 @@
     }
   }
 
-  #run(command: string, what: string, settings: object): void {
-    const file = this.#write(`${what}-${this.#children.length}`, settings);
-    this.#spawn([command, what, file]);
+  #startStandIn(command: string, name: string, settings: object): void {
+    const file = this.#writeSettings(
+      `${name}-${this.#children.length}`,
+      settings,
+    );
+    this.#spawn([command, name, file]);
   }
 
   #spawn(args: readonly string[]): ChildProcess {
@@ -167,13 +175,13 @@
     return child;
   }
 
-  #write(name: string, settings: object): string {
+  #writeSettings(name: string, settings: object): string {
     const file = path.join(this.#folder, `${name}.jsonc`);
     writeFileSync(file, JSON.stringify(settings));
     return file;
   }
 
-  #times(count: number, start: (index: number) => void): void {
+  #repeat(count: number, start: (index: number) => void): void {
     Array.from({ length: count }, (_, index) => index).forEach(start);
   }
 
@@ -181,28 +189,28 @@
     return `http://${HOST}:${port}`;
   }
 
-  #control(index: number): string {
+  #controlAddress(index: number): string {
     return `${HOST}:${this.basePort + 300 + index}`;
   }
 
-  #domain(index: number): string {
+  #failureDomain(index: number): string {
     return `domain-${index % 3}`;
   }
 
-  async #whenUp(url: string): Promise<void> {
-    for (let tries = 0; tries < READY_TRIES; tries += 1) {
-      const up = await request(url).then(
+  async #waitUntilReady(url: string): Promise<void> {
+    for (let attempt = 0; attempt < READY_ATTEMPTS; attempt += 1) {
+      const isReady = await request(url).then(
         async res => {
           await res.body.dump();
           return res.statusCode === OK;
         },
         () => false,
       );
-      if (up) {
+      if (isReady) {
         return;
       }
       await wait(READY_PAUSE_MS);
     }
-    throw new Error(`${url} did not come up`);
+    throw new Error(`${url} did not become ready`);
   }
 }
--- a/packages/bench/src/measure/fitSlope.ts
+++ b/packages/bench/src/measure/fitSlope.ts
@@ -9,16 +9,16 @@
 
 import type { Point, Slope } from './Measurement.js';
 
-/** What is measured, before its points are known. */
+/** Name and units of a slope. */
 export type SlopeTitle = Pick<Slope, 'name' | 'sizeUnit' | 'valueUnit'>;
 
 /**
  * Measures a cost at several sizes and fits a line through the medians.
  *
- * @param title - name and units
- * @param sizes - at least four
- * @param repeats - readings at each size
- * @param read - takes one reading
+ * @param title - name and units of the slope
+ * @param sizes - sizes to measure at, at least four
+ * @param repeats - number of readings at each size
+ * @param read - takes one reading at a size
  * @returns the slope with its points
  */
 export async function fitSlope(
@@ -40,20 +40,17 @@
       max: max(readings),
     });
   }
-  return lineThrough(title, points);
+  return fitLine(title, points);
 }
 
 /**
- * Fits a line through points.
+ * Fits a line to points by linear regression.
  *
- * @param title - name and units
- * @param points - at least two
- * @returns the slope
+ * @param title - name and units of the slope
+ * @param points - points to fit, at least two
+ * @returns the slope with its points
  */
-export function lineThrough(
-  title: SlopeTitle,
-  points: readonly Point[],
-): Slope {
+export function fitLine(title: SlopeTitle, points: readonly Point[]): Slope {
   const pairs = points.map(({ size, value }) => [size, value]);
   const { m, b } = linearRegression(pairs);
   const line = linearRegressionLine({ m, b });
--- a/packages/bench/src/measure/measureDecisions.ts
+++ b/packages/bench/src/measure/measureDecisions.ts
@@ -2,13 +2,15 @@
 import { fitSlope } from './fitSlope.js';
 import { LoadedRouter } from './LoadedRouter.js';
 
-const REPLICAS = [75, 150, 300, 600, 1200];
-const QUEUED = [1250, 2500, 5000, 10_000, 20_000];
+const REPLICA_COUNTS = [75, 150, 300, 600, 1200];
+const QUEUE_LENGTHS = [1250, 2500, 5000, 10_000, 20_000];
 const REPEATS = 5;
-const DECISIONS = 4000;
-const FIXED_QUEUED = 10_000;
-const FIXED_REPLICAS = 600;
-const MICROSECONDS = 1000;
+const DECISIONS_PER_READING = 4000;
+const FIXED_QUEUE_LENGTH = 10_000;
+const FIXED_REPLICA_COUNT = 600;
+const MICROS_PER_MS = 1000;
+
+/** Mean duration of a decision cycle, in microseconds, after a warm-up. */
 function microsPerDecision(replicas: number, queued: number): number {
   const loaded = new LoadedRouter(replicas, queued);
   const repeat = (count: number): void => {
@@ -16,25 +18,27 @@
       loaded.decide();
     });
   };
-  repeat(DECISIONS / 4);
+  repeat(DECISIONS_PER_READING / 4);
   const startMs = performance.now();
-  repeat(DECISIONS);
-  return ((performance.now() - startMs) * MICROSECONDS) / DECISIONS;
+  repeat(DECISIONS_PER_READING);
+  return (
+    ((performance.now() - startMs) * MICROS_PER_MS) / DECISIONS_PER_READING
+  );
 }
 
-/** Cost of admitting one request and routing another, over replicas and over queued requests. */
+/** Measures the cost of admitting one request and routing another, by replicas and by queue length. */
 export async function measureDecisions(): Promise<readonly Slope[]> {
-  // The first run in a process pays for compilation; it is thrown away.
-  microsPerDecision(FIXED_REPLICAS, FIXED_QUEUED);
+  // The first run in a process includes JIT compilation, so its result is discarded.
+  microsPerDecision(FIXED_REPLICA_COUNT, FIXED_QUEUE_LENGTH);
   const byReplicas = await fitSlope(
     {
       name: 'decision over replicas, 10,000 queued',
       sizeUnit: 'replicas',
       valueUnit: 'µs',
     },
-    REPLICAS,
+    REPLICA_COUNTS,
     REPEATS,
-    size => microsPerDecision(size, FIXED_QUEUED),
+    size => microsPerDecision(size, FIXED_QUEUE_LENGTH),
   );
   const byQueued = await fitSlope(
     {
@@ -42,9 +46,9 @@
       sizeUnit: 'requests',
       valueUnit: 'µs',
     },
-    QUEUED,
+    QUEUE_LENGTHS,
     REPEATS,
-    size => microsPerDecision(FIXED_REPLICAS, size),
+    size => microsPerDecision(FIXED_REPLICA_COUNT, size),
   );
   return [byReplicas, byQueued];
 }
--- a/packages/bench/src/measure/measureHeartbeats.ts
+++ b/packages/bench/src/measure/measureHeartbeats.ts
@@ -23,18 +23,19 @@
 import { fitSlope } from './fitSlope.js';
 import type { Slope } from './Measurement.js';
 
-const FLEETS = [46, 93, 185, 370];
-const ORGANISATIONS = 510;
+const FLEET_SIZES = [46, 93, 185, 370];
+const ORGANISATION_COUNT = 510;
 const REQUESTS_PER_SECOND = 4100;
 const MAX_OWNERS = 4;
 const PERIODS = 5;
-const WARM_UP = 3;
+const WARM_UP_PERIODS = 3;
 const PERIOD_MS = 1000;
 const REPEATS = 3;
-const MICROSECONDS = 1000;
+const MICROS_PER_MS = 1000;
 
-const ORGANISATION_IDS = Array.from({ length: ORGANISATIONS }, (_, index) =>
-  brand<OrganisationId>(`organisation-${index}`),
+const ORGANISATION_IDS = Array.from(
+  { length: ORGANISATION_COUNT },
+  (_, index) => brand<OrganisationId>(`organisation-${index}`),
 );
 
 const ORGANISATION_LIST: readonly Organisation[] = ORGANISATION_IDS.map(id => ({
@@ -42,21 +43,21 @@
   id,
   keySha256: '0'.repeat(64),
   weight: 1,
-  // Just what each organisation asks for, so that all of them are hot.
+  // About the rate at which each organisation sends, so that all use enough of their limit to be reported.
   limits: { requestsPerSecond: 8, tokensPerSecond: 1e9 },
 }));
 
-/** Control state of one instance. */
-interface Node {
+/** Control-plane state of one instance. */
+interface InstanceState {
   readonly membership: Membership;
   readonly limits: OrganisationLimits;
   readonly ledger: DemandLedger;
 }
 
-/** Control logic of a whole fleet in one process, with the real codec. */
-class ControlFleet {
-  bytes = 0;
-  readonly #nodes = new Map<InstanceId, Node>();
+/** Control-plane logic of a whole fleet in one process, with the real wire encoding. */
+class ControlPlaneSimulation {
+  bytesSent = 0;
+  readonly #instances = new Map<InstanceId, InstanceState>();
   readonly #random = createRandom(1);
   #nowMs = 0;
   readonly #ring: OwnerRing;
@@ -83,7 +84,7 @@
       membership.onList(list);
       const limits = new OrganisationLimits();
       limits.configure(ORGANISATION_LIST, 0);
-      this.#nodes.set(fact.instance, {
+      this.#instances.set(fact.instance, {
         membership,
         limits,
         ledger: new DemandLedger(),
@@ -91,21 +92,21 @@
     });
   }
 
-  /** One second of every instance's control work. */
-  period(): void {
+  /** Runs one period, a second, of control-plane work for every instance. */
+  runPeriod(): void {
     this.#nowMs += PERIOD_MS;
-    this.#nodes.forEach(node => {
-      this.#offer(node);
-      node.membership.tick();
-      node.membership.targets().forEach(member => {
-        this.#exchange(node, member);
+    this.#instances.forEach(instance => {
+      this.#chargeRequests(instance);
+      instance.membership.tick();
+      instance.membership.targets().forEach(member => {
+        this.#exchange(instance, member);
       });
-      this.#reportHot(node);
+      this.#reportDemand(instance);
     });
   }
 
-  /** Reports to as many owners as an instance reports to in a period. */
-  #reportHot({ membership, limits }: Node): void {
+  /** Reports demand to owners, up to the number that an instance reports to in a period. */
+  #reportDemand({ membership, limits }: InstanceState): void {
     const demands = limits.closePeriod(this.size, this.#nowMs);
     const owners = new Map<InstanceId, Demand[]>();
     demands.forEach(demand => {
@@ -126,11 +127,14 @@
     reported: readonly Demand[],
     limits: OrganisationLimits,
   ): void {
-    const ledger = assertDefined(this.#nodes.get(owner), 'an owner').ledger;
+    const ledger = assertDefined(
+      this.#instances.get(owner),
+      'the owner is an instance of the fleet',
+    ).ledger;
     const message = { instance: reporter, demands: [...reported] };
     const bytes = DemandReport.encode(message).finish();
     const received = DemandReport.decode(bytes);
-    this.bytes += bytes.length;
+    this.bytesSent += bytes.length;
     const shares = received.demands.flatMap(({ organisation, requests }) => {
       const share = ledger.report(
         brand<OrganisationId>(organisation),
@@ -142,34 +146,40 @@
       return share === null ? [] : [{ organisation, share }];
     });
     const reply = ShareReply.encode({ shares }).finish();
-    this.bytes += reply.length;
+    this.bytesSent += reply.length;
     ShareReply.decode(reply).shares.forEach(({ organisation, share }) => {
       limits.grant(brand<OrganisationId>(organisation), share, this.#nowMs);
     });
   }
 
-  #offer({ limits }: Node): void {
+  #chargeRequests({ limits }: InstanceState): void {
     const requests = Math.round(REQUESTS_PER_SECOND / this.size);
     Array.from({ length: requests }).forEach(() => {
-      const pick = Math.floor(this.#random() * ORGANISATIONS);
-      const id = assertDefined(ORGANISATION_IDS[pick], 'an organisation');
+      const index = Math.floor(this.#random() * ORGANISATION_COUNT);
+      const id = assertDefined(
+        ORGANISATION_IDS[index],
+        'the index is below the number of organisations',
+      );
       limits.charge(id, 1, this.#nowMs);
     });
   }
 
-  #exchange(sender: Node, member: Member): void {
-    const receiver = assertDefined(this.#nodes.get(member.id), 'a member');
+  #exchange(sender: InstanceState, member: Member): void {
+    const receiver = assertDefined(
+      this.#instances.get(member.id),
+      'the member is an instance of the fleet',
+    );
     receiver.membership.onMessage(this.#transfer(sender));
     sender.membership.onMessage(this.#transfer(receiver));
   }
 
-  #transfer({ membership }: Node): HeartbeatFacts {
+  #transfer({ membership }: InstanceState): HeartbeatFacts {
     const message = membership.message({
       revision: 1,
       inFlight: 10,
     });
     const bytes = HeartbeatMessage.encode(toHeartbeatMessage(message)).finish();
-    this.bytes += bytes.length;
+    this.bytesSent += bytes.length;
     return fromHeartbeatMessage(HeartbeatMessage.decode(bytes));
   }
 }
@@ -179,27 +189,27 @@
   readonly bytes: number;
 }
 
-/** Cost of one second of control, per instance. */
+/** Control-plane cost per instance and second. */
 function costOf(size: number): FleetCost {
-  const fleet = new ControlFleet(size);
+  const fleet = new ControlPlaneSimulation(size);
   const run = (periods: number): void => {
     Array.from({ length: periods }).forEach(() => {
-      fleet.period();
+      fleet.runPeriod();
     });
   };
-  run(WARM_UP);
-  fleet.bytes = 0;
+  run(WARM_UP_PERIODS);
+  fleet.bytesSent = 0;
   const startMs = performance.now();
   run(PERIODS);
-  const perNode = size * PERIODS;
+  const instanceSeconds = size * PERIODS;
   return {
-    micros: ((performance.now() - startMs) * MICROSECONDS) / perNode,
+    micros: ((performance.now() - startMs) * MICROS_PER_MS) / instanceSeconds,
     // Each message is sent by one instance and received by another.
-    bytes: (2 * fleet.bytes) / perNode,
+    bytes: (2 * fleet.bytesSent) / instanceSeconds,
   };
 }
 
-/** Processor time and bytes of heartbeats and limit shares over the fleet. */
+/** Measures processor time and payload of heartbeats and limit shares, by fleet size. */
 export async function measureHeartbeats(): Promise<readonly Slope[]> {
   const costs = new Map<number, FleetCost[]>();
   const read = (size: number): FleetCost => {
@@ -213,7 +223,7 @@
       sizeUnit: 'instances',
       valueUnit: 'µs of processor a second',
     },
-    FLEETS,
+    FLEET_SIZES,
     REPEATS,
     size => read(size).micros,
   );
@@ -223,7 +233,7 @@
       sizeUnit: 'instances',
       valueUnit: 'bytes a second',
     },
-    FLEETS,
+    FLEET_SIZES,
     1,
     size => costs.get(size)?.[0]?.bytes ?? 0,
   );
--- a/packages/bench/src/measure/measureProcesses.ts
+++ b/packages/bench/src/measure/measureProcesses.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
 
 import { demoDeployment, keyOf } from '../demo/demoDeployment.js';
-import { fitSlope, lineThrough } from './fitSlope.js';
+import { fitSlope, fitLine } from './fitSlope.js';
 import type { Point, Slope } from './Measurement.js';
 import { ProcessFleet } from './ProcessFleet.js';
 import { processUsage } from './processUsage.js';
@@ -13,13 +13,13 @@
   prefillPerTokenMs: 0.001,
 };
 const ENGINES = 3;
-const SECONDS = 8;
+const LOAD_S = 8;
 const SETTLE_MS = 3000;
-/** Until the code of an idle instance has been compiled. */
+/** Time until the code of an idle instance has been JIT-compiled. */
 const IDLE_SETTLE_MS = 12_000;
-const FLEETS = [2, 4, 8, 16];
+const FLEET_SIZES = [2, 4, 8, 16];
 const MS_PER_SECOND = 1000;
-const MICROSECONDS = 1000;
+const MICROS_PER_MS = 1000;
 const SHORT_TOKENS = 8;
 const LONG_TOKENS = 200;
 const SHORT_RATES = [40, 80, 160, 320];
@@ -41,11 +41,11 @@
 const wait = (ms: number): Promise<void> =>
   new Promise(resolve => setTimeout(resolve, ms));
 
-function loadOf(url: string, rate: number, maxTokens: number): object {
+function loadSettings(url: string, rate: number, maxTokens: number): object {
   return {
     kind: 'load',
     entryUrls: [url],
-    seconds: SECONDS,
+    seconds: LOAD_S,
     streams: [
       {
         organisation: 'hotel-riva',
@@ -94,8 +94,8 @@
   readonly residentBytes: number;
 }
 
-/** What instances use while no caller calls: control only. */
-function idleCost(instances: number): Promise<IdleCost> {
+/** Measures what instances use without calls, that is for control-plane work only. */
+function measureIdleCost(instances: number): Promise<IdleCost> {
   return withFleet(21_000, instances, async fleet => {
     const sum = (): { cpuMs: number; residentBytes: number } =>
       fleet.instancePids.map(processUsage).reduce((total, usage) => ({
@@ -104,17 +104,17 @@
       }));
     await wait(IDLE_SETTLE_MS);
     const before = sum();
-    await wait(SECONDS * MS_PER_SECOND);
+    await wait(LOAD_S * MS_PER_SECOND);
     const after = sum();
     return {
       coreShare:
-        (after.cpuMs - before.cpuMs) / (SECONDS * MS_PER_SECOND * instances),
+        (after.cpuMs - before.cpuMs) / (LOAD_S * MS_PER_SECOND * instances),
       residentBytes: after.residentBytes / instances,
     };
   });
 }
 
-/** Control cost of idle instances, as processes. */
+/** Measures processor time and memory of idle instances in separate processes, by fleet size. */
 export async function measureIdle(): Promise<readonly Slope[]> {
   const memory: Point[] = [];
   const cpu = await fitSlope(
@@ -123,10 +123,10 @@
       sizeUnit: 'instances',
       valueUnit: 'share of a core',
     },
-    FLEETS,
+    FLEET_SIZES,
     1,
     async size => {
-      const { coreShare, residentBytes } = await idleCost(size);
+      const { coreShare, residentBytes } = await measureIdleCost(size);
       const value = residentBytes / MIB;
       memory.push({ size, value, min: value, max: value });
       return coreShare;
@@ -137,7 +137,7 @@
     sizeUnit: 'instances',
     valueUnit: 'MiB resident',
   };
-  return [cpu, lineThrough(title, memory)];
+  return [cpu, fitLine(title, memory)];
 }
 
 interface DataPathPoint {
@@ -145,7 +145,7 @@
   readonly figures: LoadFigures;
 }
 
-async function underLoad(
+async function measureUnderLoad(
   fleet: ProcessFleet,
   rate: number,
   maxTokens: number,
@@ -153,7 +153,7 @@
   const [pid = 0] = fleet.instancePids;
   const before = processUsage(pid);
   const figures = loadSchema.parse(
-    await fleet.load(loadOf(fleet.callerUrl(0), rate, maxTokens)),
+    await fleet.load(loadSettings(fleet.callerUrl(0), rate, maxTokens)),
   );
   return { cpuMs: processUsage(pid).cpuMs - before.cpuMs, figures };
 }
@@ -164,22 +164,30 @@
   readonly figures: Readonly<Record<string, number>>;
 }
 
-/** Processor time of one instance per request and per streamed token. */
+/** Measures processor time of one instance per request and per streamed token. */
 export function measureDataPath(): Promise<DataPathResult> {
   return withFleet(22_000, 1, async fleet => {
-    // Compiles the code of the data path before anything is counted.
-    await underLoad(fleet, WARM_UP_RATE, SHORT_TOKENS);
+    // Warms up the data path, so that JIT compilation is not measured.
+    await measureUnderLoad(fleet, WARM_UP_RATE, SHORT_TOKENS);
     const short: Point[] = [];
     for (const rate of SHORT_RATES) {
-      const { cpuMs, figures } = await underLoad(fleet, rate, SHORT_TOKENS);
-      short.push(point(figures.calls, cpuMs));
+      const { cpuMs, figures } = await measureUnderLoad(
+        fleet,
+        rate,
+        SHORT_TOKENS,
+      );
+      short.push(costPoint(figures.calls, cpuMs));
     }
     const long: Point[] = [];
     for (const rate of LONG_RATES) {
-      const { cpuMs, figures } = await underLoad(fleet, rate, LONG_TOKENS);
-      long.push(point(figures.tokens, cpuMs));
+      const { cpuMs, figures } = await measureUnderLoad(
+        fleet,
+        rate,
+        LONG_TOKENS,
+      );
+      long.push(costPoint(figures.tokens, cpuMs));
     }
-    const perRequest = lineThrough(
+    const perRequest = fitLine(
       {
         name: 'instance, answers of 4 to 8 tokens',
         sizeUnit: 'requests',
@@ -187,7 +195,7 @@
       },
       short,
     );
-    const perToken = lineThrough(
+    const perToken = fitLine(
       {
         name: 'instance, answers of about 90 tokens',
         sizeUnit: 'tokens',
@@ -197,26 +205,28 @@
     );
     return {
       slopes: [perRequest, perToken],
-      figures: await overhead(fleet),
+      figures: await measureOverhead(fleet),
     };
   });
 }
 
-const point = (size: number, cpuMs: number): Point => ({
+const costPoint = (size: number, cpuMs: number): Point => ({
   size,
-  value: cpuMs * MICROSECONDS,
-  min: cpuMs * MICROSECONDS,
-  max: cpuMs * MICROSECONDS,
+  value: cpuMs * MICROS_PER_MS,
+  min: cpuMs * MICROS_PER_MS,
+  max: cpuMs * MICROS_PER_MS,
 });
 
-/** First token through an instance against a direct call, in one run. */
-async function overhead(
+/** Compares the time to the first token through an instance with that of a direct call. */
+async function measureOverhead(
   fleet: ProcessFleet,
 ): Promise<Readonly<Record<string, number>>> {
-  const ask = async (url: string): Promise<LoadFigures> =>
-    loadSchema.parse(await fleet.load(loadOf(url, DIRECT_RATE, LONG_TOKENS)));
-  const direct = await ask(fleet.engineUrl(0));
-  const through = await ask(fleet.callerUrl(0));
+  const runAgainst = async (url: string): Promise<LoadFigures> =>
+    loadSchema.parse(
+      await fleet.load(loadSettings(url, DIRECT_RATE, LONG_TOKENS)),
+    );
+  const direct = await runAgainst(fleet.engineUrl(0));
+  const through = await runAgainst(fleet.callerUrl(0));
   return {
     directFirstTokenP50Ms: direct.firstTokenP50Ms,
     throughFirstTokenP50Ms: through.firstTokenP50Ms,
--- a/packages/bench/src/measure/measureState.ts
+++ b/packages/bench/src/measure/measureState.ts
@@ -17,28 +17,28 @@
 import type { Slope } from './Measurement.js';
 
 const REPEATS = 3;
-const ORGANISATIONS = [128, 255, 510, 1020];
-const MEMBERS = [93, 185, 370, 740];
-const SERVERS = [75, 150, 300, 600];
+const ORGANISATION_COUNTS = [128, 255, 510, 1020];
+const MEMBER_COUNTS = [93, 185, 370, 740];
+const SERVER_COUNTS = [75, 150, 300, 600];
 const FEW_REPLICAS = 4;
-const QUEUED = [1250, 2500, 5000, 10_000];
+const QUEUE_LENGTHS = [1250, 2500, 5000, 10_000];
 
-/** Makes the collector callable without a flag on the command line. */
-function collector(): () => void {
+/** Returns a function that runs garbage collection, without a flag on the command line. */
+function garbageCollector(): () => void {
   setFlagsFromString('--expose-gc');
   return runInNewContext('gc') as () => void;
 }
 
-/** Heap that a value keeps alive. */
-function heapOf(build: () => unknown): number {
-  const collect = collector();
+/** Heap that a value retains, in bytes. */
+function heapBytesOf(build: () => unknown): number {
+  const collect = garbageCollector();
   collect();
   const before = process.memoryUsage().heapUsed;
-  const kept = build();
+  const retained = build();
   collect();
   const after = process.memoryUsage().heapUsed;
-  // Keeps the value alive up to the second reading.
-  return kept === undefined ? 0 : after - before;
+  // Uses the value after the second reading, so it is not collected earlier.
+  return retained === undefined ? 0 : after - before;
 }
 
 const organisation = (index: number): Organisation => ({
@@ -104,33 +104,33 @@
     leaving: false,
   }));
 
-/** Memory of each kind of state, per unit. */
+/** Measures the heap of each kind of state, by number of entries. */
 export async function measureState(): Promise<readonly Slope[]> {
   const bytes = { valueUnit: 'bytes' };
   return [
     await fitSlope(
       { ...bytes, name: 'limits state', sizeUnit: 'organisations' },
-      ORGANISATIONS,
+      ORGANISATION_COUNTS,
       REPEATS,
-      size => heapOf(() => buildLimits(size)),
+      size => heapBytesOf(() => buildLimits(size)),
     ),
     await fitSlope(
       { ...bytes, name: 'membership state', sizeUnit: 'instances' },
-      MEMBERS,
+      MEMBER_COUNTS,
       REPEATS,
-      size => heapOf(() => buildMembers(size)),
+      size => heapBytesOf(() => buildMembers(size)),
     ),
     await fitSlope(
       { ...bytes, name: 'declared servers', sizeUnit: 'replicas' },
-      SERVERS,
+      SERVER_COUNTS,
       REPEATS,
-      size => heapOf(() => buildServers(size)),
+      size => heapBytesOf(() => buildServers(size)),
     ),
     await fitSlope(
       { ...bytes, name: 'queued requests', sizeUnit: 'requests' },
-      QUEUED,
+      QUEUE_LENGTHS,
       REPEATS,
-      size => heapOf(() => new LoadedRouter(FEW_REPLICAS, size)),
+      size => heapBytesOf(() => new LoadedRouter(FEW_REPLICAS, size)),
     ),
   ];
 }
--- a/packages/bench/src/measure/processUsage.ts
+++ b/packages/bench/src/measure/processUsage.ts
@@ -1,27 +1,27 @@
 import { readFileSync } from 'node:fs';
 
-/** Processor time and memory of a process. */
+/** Processor time that a process has used, and its resident memory. */
 export interface ProcessUsage {
   readonly cpuMs: number;
   readonly residentBytes: number;
 }
 
-/** Length of a clock tick in `/proc`, the same on every Linux that Node.js runs on. */
+/** Length of a clock tick in `/proc`; the same on all Linux systems that Node.js supports. */
 const TICK_MS = 10;
 const USER_FIELD = 11;
 const SYSTEM_FIELD = 12;
 const KIBIBYTE = 1024;
 
 /**
- * Reads what a process has used so far.
+ * Reads processor time and resident memory of a process.
  *
- * @param pid - a process on this machine
+ * @param pid - id of a process on this machine
  * @returns user and system time of all its threads, and resident memory
- * @throws Error where there is no `/proc`
+ * @throws Error if the process does not exist or the system has no `/proc`
  */
 export function processUsage(pid: number): ProcessUsage {
   const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
-  // The command name may contain spaces; fields are counted behind it.
+  // The command name may contain spaces, so fields are counted after its closing parenthesis.
   const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
   const ticks = Number(fields[USER_FIELD]) + Number(fields[SYSTEM_FIELD]);
   const status = readFileSync(`/proc/${pid}/status`, 'utf8');
--- a/packages/bench/src/measure/runSlopes.ts
+++ b/packages/bench/src/measure/runSlopes.ts
@@ -4,7 +4,7 @@
 import { measureDataPath, measureIdle } from './measureProcesses.js';
 import { measureState } from './measureState.js';
 
-/** Parts of the measurement, which can be run alone. */
+/** Parts of the measurement, which can be run separately. */
 export const SLOPE_PARTS = [
   'decisions',
   'state',
@@ -15,40 +15,40 @@
 
 export type SlopePart = (typeof SLOPE_PARTS)[number];
 
-async function measure(part: SlopePart): Promise<Partial<SlopesResult>> {
-  const only = async (
+async function measurePart(part: SlopePart): Promise<Partial<SlopesResult>> {
+  const slopesOnly = async (
     work: Promise<readonly Slope[]>,
   ): Promise<Partial<SlopesResult>> => ({ slopes: await work });
   switch (part) {
     case 'decisions':
-      return only(measureDecisions());
+      return slopesOnly(measureDecisions());
     case 'state':
-      return only(measureState());
+      return slopesOnly(measureState());
     case 'heartbeats':
-      return only(measureHeartbeats());
+      return slopesOnly(measureHeartbeats());
     case 'idle':
-      return only(measureIdle());
+      return slopesOnly(measureIdle());
     case 'data-path':
       return measureDataPath();
   }
 }
 
 /**
- * Measures the slopes that docs/CAPACITY.md is worked out from.
+ * Measures the slopes that docs/CAPACITY.md is based on.
  *
- * @param parts - which of them
- * @param say - told before each part
- * @returns slopes with their points, and single figures
+ * @param parts - parts to measure
+ * @param onProgress - called with a status line before each part
+ * @returns slopes with their points, and other figures
  */
 export async function runSlopes(
   parts: readonly SlopePart[],
-  say: (line: string) => void,
+  onProgress: (line: string) => void,
 ): Promise<SlopesResult> {
   const slopes: Slope[] = [];
   let figures: Readonly<Record<string, number>> = {};
   for (const part of parts) {
-    say(`measuring ${part}`);
-    const measured = await measure(part);
+    onProgress(`measuring ${part}`);
+    const measured = await measurePart(part);
     slopes.push(...(measured.slopes ?? []));
     figures = { ...figures, ...measured.figures };
   }
--- a/packages/bench/src/measure/slopesTable.ts
+++ b/packages/bench/src/measure/slopesTable.ts
@@ -5,10 +5,10 @@
 const DIGITS = 4;
 
 /**
- * Draws measured slopes for a terminal.
+ * Formats measured slopes for a terminal.
  *
  * @param result - the measurement
- * @returns a table and the single figures
+ * @returns a table of the slopes, followed by the other figures
  */
 export function slopesTable(result: SlopesResult): string {
   const table = new Table({
