--- a/packages/bench/tests/whole-path/callers.test.ts
+++ b/packages/bench/tests/whole-path/callers.test.ts
@@ -1,60 +1,64 @@
 import { describe } from '@jujubecroft/testing';
 import { expectedAnswer } from '@jujubecroft/stand-ins';
 
-import type { Call } from './wholePathFixture.js';
+import type { CallOptions } from './wholePathFixture.js';
 import {
   errorSchema,
   answerSchema,
   HEADERS,
   MESSAGES,
   withFleet,
-  call,
-  chat,
+  sendCall,
+  chatBody,
 } from './wholePathFixture.js';
 
-const BAD_INPUT: readonly (Call & {
+const BAD_INPUT: readonly (CallOptions & {
   readonly name: string;
   readonly code: number;
 })[] = [
-  { name: 'no JSON', body: '{', code: 1001 },
+  { name: 'invalid JSON', body: '{', code: 1001 },
   {
     name: 'no messages',
     body: '{"model":"chef-small","messages":[]}',
     code: 1001,
   },
   {
-    name: 'a negative token bound',
-    body: chat(10).replace('"max_tokens":10', '"max_tokens":-1'),
+    name: 'a negative max_tokens',
+    body: chatBody(10).replace('"max_tokens":10', '"max_tokens":-1'),
     code: 1001,
   },
-  { name: 'too large a body', body: `"${'x'.repeat(1_100_000)}"`, code: 1002 },
+  {
+    name: 'a body that is too large',
+    body: `"${'x'.repeat(1_100_000)}"`,
+    code: 1002,
+  },
   {
     name: 'an unknown model',
-    body: chat(10).replace('chef-small', 'chef-huge'),
+    body: chatBody(10).replace('chef-small', 'chef-huge'),
     code: 1003,
   },
   {
-    name: 'an unknown class',
+    name: 'an unknown request class',
     headers: { ...HEADERS, 'x-request-class': 'platinum' },
-    body: chat(10),
+    body: chatBody(10),
     code: 1004,
   },
   {
     name: 'an unknown key',
     headers: { ...HEADERS, authorization: 'Bearer guess' },
-    body: chat(10),
+    body: chatBody(10),
     code: 1005,
   },
   {
-    name: 'a long idempotency key',
+    name: 'an idempotency key that is too long',
     headers: { ...HEADERS, 'idempotency-key': 'k'.repeat(200) },
-    body: chat(10),
+    body: chatBody(10),
     code: 1006,
   },
   {
-    name: 'a wrong idempotent mark',
+    name: 'an invalid x-idempotent header',
     headers: { ...HEADERS, 'x-idempotent': 'perhaps' },
-    body: chat(10),
+    body: chatBody(10),
     code: 1006,
   },
   {
@@ -68,22 +72,22 @@
 
 describe('whole path', suite => {
   suite.describe('callers', ({ it }) => {
-    it('answers whole, streamed and collected', async t => {
+    it('answers chat calls completely, streamed or not', async t => {
       await withFleet(async (_fleet, url) => {
         const expected = expectedAnswer(MESSAGES, 40);
-        const collected = await call(url, { body: chat(40) });
+        const collected = await sendCall(url, { body: chatBody(40) });
         const answer = answerSchema.parse(JSON.parse(collected.text));
         t.is(answer.choices[0]?.message.content, expected);
-        const streamed = await call(url, { body: chat(40, true) });
+        const streamed = await sendCall(url, { body: chatBody(40, true) });
         t.true(streamed.text.endsWith('data: [DONE]\n\n'));
         t.is(streamed.text.split('"content"').length - 1 > 0, true);
       });
     });
 
-    it('refuses bad input with a number, and sends nothing on', async t => {
+    it('refuses invalid calls with an error code and forwards nothing', async t => {
       await withFleet(async (fleet, url) => {
         for (const { name, code, ...input } of BAD_INPUT) {
-          const { text } = await call(url, input);
+          const { text } = await sendCall(url, input);
           const { error } = errorSchema.parse(JSON.parse(text));
           t.is(error.code, code, name);
           t.is(error.ran, 'no', name);
@@ -101,9 +105,9 @@
       });
     });
 
-    it('passes method, body and status of a plain service on', async t => {
+    it('forwards method, path and body to a plain service and returns its status', async t => {
       await withFleet(async (_fleet, url) => {
-        const { status, text, res } = await call(url, {
+        const { status, text, res } = await sendCall(url, {
           path: '/services/stock/items/7?full=1',
           method: 'PUT',
           headers: {
@@ -124,11 +128,11 @@
       });
     });
 
-    it('runs a keyed call once, whichever instances repeats reach', async t => {
-      // A menu price is changed twice, because the caller repeated its call at
-      // another instance after the first one's reply was slow.
+    it('runs a call with an idempotency key once, whichever instances receive its repeats', async t => {
+      // Guards against running a call twice if the caller repeats it at another
+      // instance because the first one was slow to reply.
       await withFleet(async fleet => {
-        const input: Call = {
+        const input: CallOptions = {
           path: '/services/stock/price',
           headers: {
             ...HEADERS,
@@ -139,7 +143,7 @@
         };
         const replies = [];
         for (const url of [...fleet.callerUrls, ...fleet.callerUrls]) {
-          replies.push(await call(url, input));
+          replies.push(await sendCall(url, input));
         }
         t.true(replies.every(({ status }) => status === 200));
         t.is(new Set(replies.map(({ text }) => text)).size, 1);
@@ -151,13 +155,13 @@
       });
     });
 
-    it('says "maybe" when a non-idempotent call may have run', async t => {
-      // The service ran the call and then cut the connection. Sending it again
-      // could change a price twice; saying "not run" would be a lie.
+    it('answers ran "maybe" when a non-idempotent call may have run', async t => {
+      // The service runs the call and then cuts the connection. Sending it again
+      // could change a price twice, and answering "no" would be false.
       await withFleet(async (fleet, url) => {
         const [service] = fleet.services;
         await fleet.setFaults(service?.url ?? '', { cutReplies: true });
-        const { text } = await call(url, {
+        const { text } = await sendCall(url, {
           path: '/services/stock/price',
           headers: {
             ...HEADERS,
@@ -172,10 +176,10 @@
       });
     });
 
-    it('refuses keyed calls as not run while the table is down', async t => {
+    it('refuses calls with an idempotency key as not run while the table is down', async t => {
       await withFleet(async (fleet, url) => {
         await fleet.setFaults(fleet.platformUrl, { down: true });
-        const { text } = await call(url, {
+        const { text } = await sendCall(url, {
           path: '/services/stock/price',
           headers: {
             ...HEADERS,
@@ -186,8 +190,8 @@
         });
         const { error } = errorSchema.parse(JSON.parse(text));
         t.deepEqual([error.code, error.ran], [3006, 'no']);
-        const answered = await call(url, { body: chat(10) });
-        t.is(answered.status, 200, 'idempotent work goes on');
+        const answered = await sendCall(url, { body: chatBody(10) });
+        t.is(answered.status, 200, 'idempotent calls are still answered');
         const runs = await fleet.read(
           fleet.services[0]?.url ?? '',
           '/control/runs',
--- a/packages/bench/tests/whole-path/servers-and-operators.test.ts
+++ b/packages/bench/tests/whole-path/servers-and-operators.test.ts
@@ -5,16 +5,16 @@
 import {
   answerSchema,
   withFleet,
-  call,
-  chat,
-  busyEngine,
+  sendCall,
+  chatBody,
+  waitForBusyEngine,
 } from './wholePathFixture.js';
 
 describe('whole path', suite => {
   suite.describe('engines', ({ it }) => {
-    it('continues a stream byte for byte when its engine crashes', async t => {
-      // A chef sees an answer stop. The engine crashed in the middle of it, and
-      // two others could have gone on.
+    it('an answer is complete although its engine crashes in the middle of it', async t => {
+      // Guards against an answer that ends early because its engine crashed, although
+      // two other engines could have continued it.
       await withFleet(async (fleet, url) => {
         const messages = [{ role: 'user', content: 'long answer please 3' }];
         const body = JSON.stringify({
@@ -22,8 +22,8 @@
           messages,
           max_tokens: 400,
         });
-        const answer = call(url, { body });
-        const serving = await busyEngine(fleet);
+        const answer = sendCall(url, { body });
+        const serving = await waitForBusyEngine(fleet);
         await fleet.setFaults(serving, { crashed: true });
         const { text } = await answer;
         const { choices } = answerSchema.parse(JSON.parse(text));
@@ -33,7 +33,7 @@
   });
 
   suite.describe('operators', ({ it }) => {
-    it('watches the decisions of a request as they happen', async t => {
+    it('receive the decisions on a request as they happen', async t => {
       await withFleet(async (fleet, url) => {
         const connection = fleet.operator(0);
         const events: proto.DecisionEvent[] = [];
@@ -52,7 +52,7 @@
           stream.on('error', () => undefined);
         });
         await connection.status();
-        await call(url, { body: chat(5) });
+        await sendCall(url, { body: chatBody(5) });
         await finished;
         t.deepEqual(
           events.map(({ kind }) => kind),
@@ -63,7 +63,7 @@
       });
     });
 
-    it('drains a backend server on every instance', async t => {
+    it('drain a backend server on every instance', async t => {
       await withFleet(async fleet => {
         const connection = fleet.operator(1);
         const { revision } = await connection.drain({
@@ -73,7 +73,7 @@
         });
         await fleet.whenInForce(revision);
         for (const url of fleet.callerUrls) {
-          await call(url, { body: chat(5) });
+          await sendCall(url, { body: chatBody(5) });
         }
         const [engine] = fleet.engines;
         const counts = await fleet.read(engine?.url ?? '', '/control/counts');
@@ -93,16 +93,16 @@
       });
     });
 
-    it('refuses an unknown operator', async t => {
+    it('are refused with an unknown token', async t => {
       await withFleet(async fleet => {
         const { OperatorConnection } = await import('@jujubecroft/operator');
         const [instance] = fleet.instances;
-        const stranger = new OperatorConnection(
+        const unknownOperator = new OperatorConnection(
           instance?.controlAddress ?? '',
           'guess',
         );
-        await t.throwsAsync(stranger.status(), { message: /4005/ });
-        stranger.close();
+        await t.throwsAsync(unknownOperator.status(), { message: /4005/ });
+        unknownOperator.close();
       });
     });
   });
--- a/packages/bench/tests/whole-path/wholePathFixture.ts
+++ b/packages/bench/tests/whole-path/wholePathFixture.ts
@@ -10,13 +10,17 @@
   engineModel: { stepBaseMs: 2, stepPerSequenceMs: 0.05 },
 };
 
+/** Body of a refusal. */
 export const errorSchema = z.object({
   error: z.object({ code: z.number(), ran: z.string(), action: z.string() }),
 });
+/** Body of a chat answer that is not streamed. */
 export const answerSchema = z.object({
   choices: z.array(z.object({ message: z.object({ content: z.string() }) })),
 });
-export const keepSchema = z.object({ keep_seconds: z.number() });
+/** Time that callers may cache an address list, in seconds. */
+export const cacheTimeSchema = z.object({ keep_seconds: z.number() });
+/** Instances in an address list. */
 export const addressesSchema = z.object({
   addresses: z.array(z.object({ instance: z.string() })),
 });
@@ -29,7 +33,7 @@
 
 export const MESSAGES = [{ role: 'user', content: 'What does a plate cost?' }];
 
-/** Runs a body with a fleet of three instances, three engines and one service. */
+/** Runs a test body against a fleet of three instances, three engines and one service. */
 export async function withFleet(
   body: (fleet: LocalFleet, url: string) => Promise<void>,
 ): Promise<void> {
@@ -43,16 +47,19 @@
   }
 }
 
-/** A call with its defaults left out. */
-export interface Call {
+/** Parameters of a call; those left out have the defaults of a chat call. */
+export interface CallOptions {
   readonly path?: string;
   readonly method?: 'GET' | 'POST' | 'PUT';
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
 }
 
-/** Sends one call as a caller does. */
-export async function call(url: string, { path, method, headers, body }: Call) {
+/** Sends one call to an instance. */
+export async function sendCall(
+  url: string,
+  { path, method, headers, body }: CallOptions,
+) {
   const res = await request(`${url}${path ?? '/v1/chat/completions'}`, {
     method: method ?? 'POST',
     headers: headers ?? HEADERS,
@@ -62,7 +69,7 @@
 }
 
 /** Body of a chat request. */
-export const chat = (maxTokens: number, stream = false): string =>
+export const chatBody = (maxTokens: number, stream = false): string =>
   JSON.stringify({
     model: 'chef-small',
     messages: MESSAGES,
@@ -70,10 +77,10 @@
     stream,
   });
 
-/** Waits for an engine that generates, and says which. */
-export async function busyEngine(fleet: LocalFleet): Promise<string> {
+/** Waits until an engine generates tokens and returns its URL. */
+export async function waitForBusyEngine(fleet: LocalFleet): Promise<string> {
   const countSchema = z.object({ generatedTokens: z.number() });
-  for (let tries = 0; tries < 400; tries += 1) {
+  for (let poll = 0; poll < 400; poll += 1) {
     for (const { url } of fleet.engines) {
       const counts = await fleet.read(url, '/control/counts');
       if (countSchema.parse(counts).generatedTokens > 3) {
@@ -82,5 +89,5 @@
     }
     await new Promise(resolve => setTimeout(resolve, 5));
   }
-  throw new Error('no engine generates');
+  throw new Error('timed out waiting for an engine that generates tokens');
 }
