--- a/packages/bench/src/gateway/GatewayReplay.ts
+++ b/packages/bench/src/gateway/GatewayReplay.ts
@@ -40,7 +40,7 @@
 const BURST_START_S = 6;
 const BURST_END_S = 14;
 const DRAIN_S = 20;
-const NETWORK_MS = 1;
+const NETWORK_DELAY_MS = 1;
 const NO_SOURCE_ENGINE = brand<BackendServerId>('');
 const MS_PER_SECOND = 1000;
 
@@ -295,7 +295,7 @@
       result.cut += 1;
     };
     const copyMs = attempt.fetch?.tookMs ?? 0;
-    this.#events.after(NETWORK_MS + copyMs, () => {
+    this.#events.after(NETWORK_DELAY_MS + copyMs, () => {
       if (!ended) {
         engine.submit(job);
       }
--- a/packages/bench/src/gateway/gateway-ablation.ts
+++ b/packages/bench/src/gateway/gateway-ablation.ts
@@ -107,7 +107,7 @@
   meta: {
     name: 'gateway-ablation',
     description:
-      'The loads of gateway-burst and one with tight targets, with each mechanism of the decisions disabled in turn; reports the value that callers received, requests not served and shared tokens read.',
+      'The loads of gateway-burst, and one with tight targets, with each mechanism of deciding switched off alone; worth that callers had, requests not served, shared tokens read.',
   },
   run: ({ seed }) =>
     Promise.resolve({
--- a/packages/bench/src/gateway/gateway-burst.ts
+++ b/packages/bench/src/gateway/gateway-burst.ts
@@ -54,7 +54,7 @@
   meta: {
     name: 'gateway-burst',
     description:
-      'Six gateway instances and eight engines in virtual time; for eight seconds long prompts arrive at 2.2 times and live ones at twice their usual rate; reports the shares of each kind on time, refused and cut; repeated with sixty instances.',
+      'Six instances of the gateway before eight engines; long prompts come at 2.2 times and live ones at twice their rate for eight seconds; shares on time, refused and cut of each kind, on virtual time; the same once more at sixty instances.',
   },
   run: ({ seed }) =>
     Promise.resolve({
--- a/packages/bench/src/measure/measureHeartbeats.ts
+++ b/packages/bench/src/measure/measureHeartbeats.ts
@@ -26,8 +26,8 @@
 const FLEET_SIZES = [46, 93, 185, 370];
 const ORGANISATION_COUNT = 510;
 const REQUESTS_PER_SECOND = 4100;
-const MAX_OWNERS = 4;
-const PERIODS = 5;
+const MAX_OWNERS_PER_PERIOD = 4;
+const MEASURED_PERIODS = 5;
 const WARM_UP_PERIODS = 3;
 const PERIOD_MS = 1000;
 const REPEATS = 3;
@@ -115,7 +115,7 @@
         owners.set(owner, [...(owners.get(owner) ?? []), demand]);
       }
     });
-    [...owners].slice(0, MAX_OWNERS).forEach(([owner, reported]) => {
+    [...owners].slice(0, MAX_OWNERS_PER_PERIOD).forEach(([owner, reported]) => {
       const reporter = membership.self.instance;
       this.#report(reporter, owner, reported, limits);
     });
@@ -200,8 +200,8 @@
   run(WARM_UP_PERIODS);
   fleet.bytesSent = 0;
   const startMs = performance.now();
-  run(PERIODS);
-  const instanceSeconds = size * PERIODS;
+  run(MEASURED_PERIODS);
+  const instanceSeconds = size * MEASURED_PERIODS;
   return {
     micros: ((performance.now() - startMs) * MICROS_PER_MS) / instanceSeconds,
     // Each message is sent by one instance and received by another.
--- a/packages/bench/src/measure/measureProcesses.ts
+++ b/packages/bench/src/measure/measureProcesses.ts
@@ -20,12 +20,12 @@
 const FLEET_SIZES = [2, 4, 8, 16];
 const MS_PER_SECOND = 1000;
 const MICROS_PER_MS = 1000;
-const SHORT_TOKENS = 8;
-const LONG_TOKENS = 200;
-const SHORT_RATES = [40, 80, 160, 320];
-const LONG_RATES = [10, 20, 40, 80];
-const DIRECT_RATE = 20;
-const WARM_UP_RATE = 320;
+const SHORT_MAX_TOKENS = 8;
+const LONG_MAX_TOKENS = 200;
+const SHORT_RATES_PER_S = [40, 80, 160, 320];
+const LONG_RATES_PER_S = [10, 20, 40, 80];
+const DIRECT_RATE_PER_S = 20;
+const WARM_UP_RATE_PER_S = 320;
 const MIB = 1_048_576;
 
 const loadSchema = z.object({
@@ -168,22 +168,22 @@
 export function measureDataPath(): Promise<DataPathResult> {
   return withFleet(22_000, 1, async fleet => {
     // Warms up the data path, so that JIT compilation is not measured.
-    await measureUnderLoad(fleet, WARM_UP_RATE, SHORT_TOKENS);
+    await measureUnderLoad(fleet, WARM_UP_RATE_PER_S, SHORT_MAX_TOKENS);
     const short: Point[] = [];
-    for (const rate of SHORT_RATES) {
+    for (const rate of SHORT_RATES_PER_S) {
       const { cpuMs, figures } = await measureUnderLoad(
         fleet,
         rate,
-        SHORT_TOKENS,
+        SHORT_MAX_TOKENS,
       );
       short.push(costPoint(figures.calls, cpuMs));
     }
     const long: Point[] = [];
-    for (const rate of LONG_RATES) {
+    for (const rate of LONG_RATES_PER_S) {
       const { cpuMs, figures } = await measureUnderLoad(
         fleet,
         rate,
-        LONG_TOKENS,
+        LONG_MAX_TOKENS,
       );
       long.push(costPoint(figures.tokens, cpuMs));
     }
@@ -223,7 +223,7 @@
 ): Promise<Readonly<Record<string, number>>> {
   const runAgainst = async (url: string): Promise<LoadFigures> =>
     loadSchema.parse(
-      await fleet.load(loadSettings(url, DIRECT_RATE, LONG_TOKENS)),
+      await fleet.load(loadSettings(url, DIRECT_RATE_PER_S, LONG_MAX_TOKENS)),
     );
   const direct = await runAgainst(fleet.engineUrl(0));
   const through = await runAgainst(fleet.callerUrl(0));
--- a/packages/bench/tests/whole-path/servers-and-operators.test.ts
+++ b/packages/bench/tests/whole-path/servers-and-operators.test.ts
@@ -33,7 +33,7 @@
   });
 
   suite.describe('operators', ({ it }) => {
-    it('receive the decisions on a request as they happen', async t => {
+    it('reports the decisions on a request to a watching operator', async t => {
       await withFleet(async (fleet, url) => {
         const connection = fleet.operator(0);
         const events: proto.DecisionEvent[] = [];
@@ -63,7 +63,7 @@
       });
     });
 
-    it('drain a backend server on every instance', async t => {
+    it('drains a backend server on every instance', async t => {
       await withFleet(async fleet => {
         const connection = fleet.operator(1);
         const { revision } = await connection.drain({
@@ -93,7 +93,7 @@
       });
     });
 
-    it('are refused with an unknown token', async t => {
+    it('refuses an operator with an unknown token', async t => {
       await withFleet(async fleet => {
         const { OperatorConnection } = await import('@jujubecroft/operator');
         const [instance] = fleet.instances;
--- a/packages/bench/tests/whole-path/stops-and-starts.test.ts
+++ b/packages/bench/tests/whole-path/stops-and-starts.test.ts
@@ -85,7 +85,7 @@
       });
     });
 
-    it('a new instance gets the configuration from a peer while the platform is down', async t => {
+    it('starts from a peer while the platform is down', async t => {
       // Guards against an instance that is replaced during an outage never serving:
       // the table and the instance list are down, but its peers have the configuration.
       await withFleet(async fleet => {
