--- a/packages/bench/src/gateway/PromptEngine.ts
+++ b/packages/bench/src/gateway/PromptEngine.ts
@@ -20,7 +20,7 @@
 
 /** One request to an engine. */
 export interface PromptJob {
-  /** Id of the prompt part that other requests share; the engine caches it after the first prefill. */
+  /** Id of the prompt part that other requests share; an engine that admitted it once keeps it in its cache. */
   readonly sharedPartId: string;
   readonly sharedTokens: number;
   readonly ownTokens: number;
@@ -91,7 +91,7 @@
     return this.#misorderedPreemptions;
   }
 
-  /** Whether a shared prompt part is in the cache of this engine. */
+  /** Whether a shared prompt part is in the cache of this engine, that is whether a request with it was admitted here. */
   hasCached(sharedPartId: string): boolean {
     return this.#cachedParts.has(sharedPartId);
   }
