--- a/packages/bench/src/demo/LocalFleet.ts
+++ b/packages/bench/src/demo/LocalFleet.ts
@@ -174,7 +174,7 @@
     const connection = this.operator(0);
     const revision = await applyDeployment(connection, deployment);
     connection.close();
-    await this.whenInForce(revision);
+    await this.waitUntilInForce(revision);
   }
 
   /** Opens an operator connection to the instance with a given index. */
@@ -189,7 +189,7 @@
    * @param revision - configuration revision
    * @throws Error if an instance has not applied it within 10 s
    */
-  async whenInForce(revision: number): Promise<void> {
+  async waitUntilInForce(revision: number): Promise<void> {
     const deadlineMs = Date.now() + IN_FORCE_TIMEOUT_MS;
     while (!this.#isInForce(revision)) {
       if (Date.now() > deadlineMs) {
--- a/packages/bench/src/demo/runDemo.ts
+++ b/packages/bench/src/demo/runDemo.ts
@@ -14,7 +14,7 @@
   readonly seconds: number;
   readonly seed: number;
   /** Called with progress messages for the user. */
-  readonly say: (line: string) => void;
+  readonly onProgress: (line: string) => void;
 }
 
 /** Result of a demo run. */
@@ -54,7 +54,7 @@
   const setCrashedAt = (share: number, crashed: boolean): NodeJS.Timeout =>
     setTimeout(
       () => {
-        options.say(crashed ? 'engine-1 crashes' : 'engine-1 is back');
+        options.onProgress(crashed ? 'engine-1 crashes' : 'engine-1 is back');
         if (victim) {
           void fleet.setFaults(victim.url, { crashed });
         }
@@ -120,13 +120,13 @@
   fleet: LocalFleet,
   options: DemoOptions,
 ): Promise<DemoResult> {
-  options.say(
+  options.onProgress(
     `starting ${FLEET_SIZE.instances} instances, ${FLEET_SIZE.engines} engines, ${FLEET_SIZE.services} plain services and a platform`,
   );
   await fleet.start(FLEET_SIZE);
   const deployment = demoDeployment(fleet.servers);
   await fleet.apply(deployment);
-  options.say('configuration in force everywhere; load begins');
+  options.onProgress('configuration in force everywhere; load begins');
   const calls: FinishedCall[] = [];
   const load = demoLoad(fleet.callerUrls, options.seconds, options.seed);
   const timers = scheduleCrash(fleet, options);
--- a/packages/bench/src/fleet/config-spread.ts
+++ b/packages/bench/src/fleet/config-spread.ts
@@ -31,7 +31,7 @@
       leaving: index % 2 === 0,
     });
     const acceptedMs = performance.now();
-    await fleet.whenInForce(revision);
+    await fleet.waitUntilInForce(revision);
     timesMs.push(performance.now() - acceptedMs);
     connection.close();
   }
--- a/packages/bench/src/load/CallerAnswer.ts
+++ b/packages/bench/src/load/CallerAnswer.ts
@@ -1,10 +1,10 @@
 import type { ExecutionStatus } from '@jujubecroft/types';
 
-import type { Outcome } from '../report/ClassTally.js';
+import type { CallOutcome } from '../report/ClassTally.js';
 
 /** Outcome of one call as its caller saw it, with what is needed to check the promises. */
 export interface CallerAnswer {
-  readonly outcome: Outcome;
+  readonly outcome: CallOutcome;
   /** Error code of a refusal; 0 if there was none. */
   readonly code: number;
   /** Whether the call ran at a backend server; null if the caller can't tell. */
--- a/packages/bench/src/report/ClassTally.ts
+++ b/packages/bench/src/report/ClassTally.ts
@@ -1,7 +1,7 @@
 import type { ClassResult } from './ClassResult.js';
 
 /** Outcome of one request, as observed by its caller. */
-export type Outcome =
+export type CallOutcome =
   | { readonly kind: 'broken'; readonly tokens: number }
   | { readonly kind: 'left'; readonly tokens: number }
   | { readonly kind: 'refused'; readonly tokens: number }
@@ -42,7 +42,7 @@
   constructor(private readonly targets: ClassTargets) {}
 
   /** Counts one outcome. */
-  add(outcome: Outcome): void {
+  add(outcome: CallOutcome): void {
     this.#sent += 1;
     if (outcome.kind !== 'whole') {
       this.#refused += outcome.kind === 'refused' ? 1 : 0;
--- a/packages/bench/src/simulation/CallTracker.ts
+++ b/packages/bench/src/simulation/CallTracker.ts
@@ -1,6 +1,6 @@
 import type { ClassResult } from '../report/ClassResult.js';
 import { ClassTally } from '../report/ClassTally.js';
-import type { Outcome } from '../report/ClassTally.js';
+import type { CallOutcome } from '../report/ClassTally.js';
 import type { CallRecord } from './CallRecord.js';
 import { createCallRecord } from './CallRecord.js';
 import type { Arrival } from './drawArrivals.js';
@@ -61,7 +61,7 @@
   }
 
   /** Ends a call with an outcome; does nothing if the call already ended. */
-  end(call: CallRecord, outcome: Outcome): void {
+  end(call: CallRecord, outcome: CallOutcome): void {
     if (call.state === 'ended') {
       return;
     }
--- a/packages/bench/tests/whole-path/servers-and-operators.test.ts
+++ b/packages/bench/tests/whole-path/servers-and-operators.test.ts
@@ -71,7 +71,7 @@
           backendServer: 'engine-1',
           leaving: true,
         });
-        await fleet.whenInForce(revision);
+        await fleet.waitUntilInForce(revision);
         for (const url of fleet.callerUrls) {
           await sendCall(url, { body: chatBody(5) });
         }
--- a/packages/cli/src/commands/DemoCommand.ts
+++ b/packages/cli/src/commands/DemoCommand.ts
@@ -28,7 +28,7 @@
     const result = await runDemo({
       seconds: this.seconds,
       seed: this.seed,
-      say: line => {
+      onProgress: line => {
         this.context.stdout.write(`${line}\n`);
       },
     });
--- a/packages/stand-ins/src/platform/FencedCalls.ts
+++ b/packages/stand-ins/src/platform/FencedCalls.ts
@@ -24,7 +24,7 @@
    * @returns false, without recording the call, if a higher token was seen for
    *   the subject
    */
-  take(call: FencedCall): boolean {
+  accept(call: FencedCall): boolean {
     if (call.token < (this.#highestTokens.get(call.subject) ?? 0)) {
       return false;
     }
--- a/packages/stand-ins/src/platform/VersionedRows.ts
+++ b/packages/stand-ins/src/platform/VersionedRows.ts
@@ -43,7 +43,7 @@
    * Oldest version from which a reader can resume; earlier history is
    * unavailable.
    */
-  get keptFrom(): number {
+  get resumableFrom(): number {
     return this.#keptFrom;
   }
 
@@ -55,7 +55,7 @@
    * @param key - key of the row
    * @param value - Base64 of the JSON content; null removes the row
    */
-  add(table: string, key: string, value: string | null): void {
+  write(table: string, key: string, value: string | null): void {
     this.#version += 1;
     this.#rows.push({ table, key, value, version: this.#version });
     const dueWaiters = this.#waiters.filter(waiter => waiter.table === table);
@@ -89,7 +89,7 @@
    * @returns the existing rows of a table in their latest version, sorted by
    *   key
    */
-  standing(table: string): readonly VersionedRow[] {
+  currentRows(table: string): readonly VersionedRow[] {
     const newest = new Map(
       this.#rows.filter(row => row.table === table).map(row => [row.key, row]),
     );
@@ -112,7 +112,7 @@
    * @param waitMs - time limit
    * @param answer - callback
    */
-  whenChanged(table: string, waitMs: number, answer: () => void): void {
+  onNextChange(table: string, waitMs: number, answer: () => void): void {
     const waiter: Waiter = { table, answer };
     this.#waiters.push(waiter);
     setTimeout(() => {
@@ -135,7 +135,7 @@
    * @param table - table whose rows expire
    * @param afterMs - age since the last write at which a row expires
    */
-  dropSilent(table: string, afterMs: number): void {
+  expireRows(table: string, afterMs: number): void {
     const writtenMs = new Map<string, number>();
     this.onChange((changed, key, content) => {
       if (changed === table && content !== null) {
@@ -148,7 +148,7 @@
         .filter(([, atMs]) => atMs < oldestMs)
         .forEach(([key]) => {
           writtenMs.delete(key);
-          this.add(table, key, null);
+          this.write(table, key, null);
         });
     };
     this.#expiryTimer = setInterval(expire, afterMs / 4);
