--- a/packages/bench/src/gateway/GatewayReplay.ts
+++ b/packages/bench/src/gateway/GatewayReplay.ts
@@ -223,7 +223,7 @@
       const retry = {
         ...request,
         arrivedMs: this.#events.nowMs,
-        cameBack: true,
+        isCallerRetry: true,
       };
       this.#placeRequest(kind, this.#drawRouter(), retry, outcome);
     });
